--- a/benchmarks/bad_days.py
+++ b/benchmarks/bad_days.py
@@ -61,7 +61,9 @@
     with tempfile.TemporaryDirectory() as directory:
         path = Path(directory)
         (path / "cluster.hcl").write_text(CLUSTER)
-        lines = [line + " sessions" if sessions and line.startswith("load") else line for line in SET.splitlines()]
+        lines = [
+            line + " sessions" if sessions and line.startswith("load") else line for line in SET.splitlines()
+        ]
         day = parse_day("\n".join([*lines, f"seed {seed}", *DAYS[trouble]]), "bad.day", path)
         tally, entries = play_in_memory(day, policy=POLICIES[policy])
     traffic = audit.gather(entries)
@@ -71,24 +73,43 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("processes", nargs="?", type=int, default=6)
-    parser.add_argument("--sessions", action="store_true", help="owners in sessions beside owners without, not policies")
+    parser.add_argument(
+        "--sessions", action="store_true", help="owners in sessions beside owners without, not policies"
+    )
     args = parser.parse_args()
-    columns = ([("without", "linedeal", False), ("in sessions", "linedeal", True)] if args.sessions else
-               [(policy, policy, False) for policy in POLICIES])
-    jobs = [(trouble, policy, seed, sessions) for trouble in DAYS for _, policy, sessions in columns
-            for seed in (1, 2, 3)]
+    columns = (
+        [("without", "linedeal", False), ("in sessions", "linedeal", True)]
+        if args.sessions
+        else [(policy, policy, False) for policy in POLICIES]
+    )
+    jobs = [
+        (trouble, policy, seed, sessions)
+        for trouble in DAYS
+        for _, policy, sessions in columns
+        for seed in (1, 2, 3)
+    ]
     with ProcessPoolExecutor(max_workers=args.processes) as pool:
         results = list(pool.map(one, jobs))
-    print(f"{'trouble':<20}" + "".join(f"{name:>12}" for name, *_ in columns) + f"{'first to 2nd':>14}{'breaches':>10}")
+    print(
+        f"{'trouble':<20}"
+        + "".join(f"{name:>12}" for name, *_ in columns)
+        + f"{'first to 2nd':>14}{'breaches':>10}"
+    )
     for trouble in DAYS:
         means, broken = [], 0
         for _, policy, sessions in columns:
-            found = [result for result in results if result[0][0] == trouble and result[0][1] == policy
-                     and result[0][3] == sessions]
+            found = [
+                result
+                for result in results
+                if result[0][0] == trouble and result[0][1] == policy and result[0][3] == sessions
+            ]
             means.append(statistics.mean(value for _, value, _ in found))
             broken += sum(count for _, _, count in found) if policy == "linedeal" else 0
-        print(f"{trouble:<20}" + "".join(f"{mean:>12.3f}" for mean in means)
-              + f"{means[0] / means[1]:>14.2f}{broken:>10}")
+        print(
+            f"{trouble:<20}"
+            + "".join(f"{mean:>12.3f}" for mean in means)
+            + f"{means[0] / means[1]:>14.2f}{broken:>10}"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/controller_pace.py
+++ b/benchmarks/controller_pace.py
@@ -72,8 +72,15 @@
                                 out += encode(pb.Started(launch=message.launch))
                                 ends.append((now + LIFE, message.launch))
                             elif isinstance(message, pb.Probe):
-                                out += encode(pb.Report(number=message.number, figures={
-                                    "idle_cores": 64 - len(ends), "idle_memory": 256 - len(ends)}))
+                                out += encode(
+                                    pb.Report(
+                                        number=message.number,
+                                        figures={
+                                            "idle_cores": 64 - len(ends),
+                                            "idle_memory": 256 - len(ends),
+                                        },
+                                    )
+                                )
                         if out:
                             async with writing:
                                 await link.send(bytes(out))
@@ -91,9 +98,20 @@
                         await link.send(bytes(out))
 
         address = await tasks.start(self.net.serve, ("127.0.0.1", 0), handle)
-        discovery.heard[name] = (anyio.current_time() + 1e6, pb.HostEntry(
-            id=name, addresses=[f"127.0.0.1:{address[1]}"], kind="std", zone="z", mode=pb.SERVING, boot=1,
-            age=1e6 + 999, free_cores=64, free_memory=256))
+        discovery.heard[name] = (
+            anyio.current_time() + 1e6,
+            pb.HostEntry(
+                id=name,
+                addresses=[f"127.0.0.1:{address[1]}"],
+                kind="std",
+                zone="z",
+                mode=pb.SERVING,
+                boot=1,
+                age=1e6 + 999,
+                free_cores=64,
+                free_memory=256,
+            ),
+        )
 
 
 async def load(address, rate, seconds, hosts, journal):
@@ -104,8 +122,16 @@
     async def one(number, *, task_status):
         rng, writing = random.Random(number), anyio.Lock()
         link = Link(await TcpNet().connect(address), FrameReader())
-        await link.send(encode(pb.Hello(version=1, role=pb.CLIENT, name=f"load{number}",
-                                        session=f"load{number}" if journal != "off" else "")))
+        await link.send(
+            encode(
+                pb.Hello(
+                    version=1,
+                    role=pb.CLIENT,
+                    name=f"load{number}",
+                    session=f"load{number}" if journal != "off" else "",
+                )
+            )
+        )
         await link.receive()
         task_status.started()
 
@@ -131,8 +157,12 @@
                 await anyio.sleep_until(at)
                 count += 1
                 key = f"{number}-{count}"
-                job = pb.JobSpec(offering=rng.choice(("web", "web", "feed")), service=f"s{rng.randrange(50)}",
-                                 cores=rng.choice((0.5, 1, 2)), memory=rng.choice((1, 2, 4)))
+                job = pb.JobSpec(
+                    offering=rng.choice(("web", "web", "feed")),
+                    service=f"s{rng.randrange(50)}",
+                    cores=rng.choice((0.5, 1, 2)),
+                    memory=rng.choice((1, 2, 4)),
+                )
                 sent[key] = anyio.current_time()
                 async with writing:
                     await link.send(encode(pb.Submit(key=key, job=job)))
@@ -149,15 +179,24 @@
     """Jobs a second of the module itself: the same hosts, jobs that are accepted and end after as many others."""
     settings = parse_cluster(CLUSTER).settings
     module, rng = Controller(settings, 1, 0.0), random.Random(1)
-    entries = tuple(api.HostEntry(f"h{i}", "std", "z", 0, api.Mode.SERVING, 0.0, 64.0, 256.0) for i in range(HOSTS))
+    entries = tuple(
+        api.HostEntry(f"h{i}", "std", "z", 0, api.Mode.SERVING, 0.0, 64.0, 256.0) for i in range(HOSTS)
+    )
     module.begin()
     module.handle(0.0, api.HostsListed(entries, True))
     now, ends = 0.0, []
     begun = time.process_time()
     for number in range(jobs):
         now += 1 / 800
-        job = api.Job(f"j{number}", rng.choice(("web", "web", "feed")), "", f"s{rng.randrange(50)}",
-                      rng.choice((0.5, 1, 2)), rng.choice((1, 2, 4)), now + 10)
+        job = api.Job(
+            f"j{number}",
+            rng.choice(("web", "web", "feed")),
+            "",
+            f"s{rng.randrange(50)}",
+            rng.choice((0.5, 1, 2)),
+            rng.choice((1, 2, 4)),
+            now + 10,
+        )
         actions = list(module.handle(now, api.JobArrived(job))) + list(module.settle(now))
         for action in actions:
             if isinstance(action, api.Launch):
@@ -176,7 +215,9 @@
     net = TcpNet()
     with tempfile.TemporaryDirectory() as directory:
         cluster = Path(directory) / "cluster.hcl"
-        cluster.write_text(CLUSTER + "journal {\n  power = %s\n}\n" % ("true" if journal == "power" else "false"))
+        cluster.write_text(
+            CLUSTER + "journal {\n  power = %s\n}\n" % ("true" if journal == "power" else "false")
+        )
         async with anyio.create_task_group() as tasks:
             discovery = Discovery(net)
             watched = await tasks.start(discovery.run, ("127.0.0.1", 0))
@@ -184,18 +225,33 @@
             for number in range(HOSTS):
                 await hosts.serve(f"h{number}", tasks, discovery)
             await anyio.sleep(0.6)
-            command = ["-m", "linedeal", "controller", "--name", "c", "--cluster", str(cluster), "--discovery",
-                       f"127.0.0.1:{watched[1]}", "--state", directory + "/state", "--seed", "1"]
+            command = [
+                "-m",
+                "linedeal",
+                "controller",
+                "--name",
+                "c",
+                "--cluster",
+                str(cluster),
+                "--discovery",
+                f"127.0.0.1:{watched[1]}",
+                "--state",
+                directory + "/state",
+                "--seed",
+                "1",
+            ]
             if profile:
                 command = ["-m", "cProfile", "-s", "tottime", *command]
             process = await anyio.open_process([sys.executable, *command], stderr=subprocess.DEVNULL)
             line = await process.stdout.receive()
             address = parse_address(json.loads(line)["address"])
-            await anyio.sleep(HOSTS / 20 + 1)       # each host has been asked what it holds
+            await anyio.sleep(HOSTS / 20 + 1)  # each host has been asked what it holds
             before = cpu_of(process.pid)
             sent, taken, placed, told = await load(address, rate, seconds, hosts, journal)
             busy = cpu_of(process.pid) - before
-            memory = int(re.search(r"VmHWM:\s+(\d+)", Path(f"/proc/{process.pid}/status").read_text()).group(1))
+            memory = int(
+                re.search(r"VmHWM:\s+(\d+)", Path(f"/proc/{process.pid}/status").read_text()).group(1)
+            )
             delays = HdrHistogram(1, 60_000_000, 3)
             for job, at in taken.items():
                 if job in hosts.offers:
@@ -225,19 +281,28 @@
     parser.add_argument("--seconds", type=float, default=10.0)
     parser.add_argument("--profile", action="store_true")
     args = parser.parse_args()
-    print(f"{HOSTS} stand-in hosts, 4 client links, {args.seconds:g} s at each rate, jobs that run {LIFE:g} s")
+    print(
+        f"{HOSTS} stand-in hosts, 4 client links, {args.seconds:g} s at each rate, jobs that run {LIFE:g} s"
+    )
     alone = module_alone(8000)
     print(f"module alone: {alone:.0f} jobs a second of CPU")
-    print(f"{'journal':<9}{'rate':>6}{'taken/s':>9}{'placed':>8}{'p50 ms':>8}{'p99':>8}{'p99.9':>8}{'tak p50':>8}{'p99':>8}{'ans p50':>8}{'p99':>8}{'CPU share':>11}"
-          f"{'jobs/CPU s':>12}{'of module':>11}{'MiB':>6}")
-    for journal, rate in [(j, float(text)) for text in args.rates.split(",") for j in args.journal.split(",")]:
+    print(
+        f"{'journal':<9}{'rate':>6}{'taken/s':>9}{'placed':>8}{'p50 ms':>8}{'p99':>8}{'p99.9':>8}{'tak p50':>8}{'p99':>8}{'ans p50':>8}{'p99':>8}{'CPU share':>11}"
+        f"{'jobs/CPU s':>12}{'of module':>11}{'MiB':>6}"
+    )
+    for journal, rate in [
+        (j, float(text)) for text in args.rates.split(",") for j in args.journal.split(",")
+    ]:
         asked, taken, placed, delays, told, busy, memory = anyio.run(
-            run, rate, args.seconds, args.profile, journal, backend_options={"use_uvloop": True})
+            run, rate, args.seconds, args.profile, journal, backend_options={"use_uvloop": True}
+        )
         points = [delays.get_value_at_percentile(p) / 1000 for p in (50, 99, 99.9)]
         points += [times.get_value_at_percentile(p) / 1000 for times in told for p in (50, 99)]
-        print(f"{journal:<9}{rate:>6.0f}{taken / args.seconds:>9.0f}{placed / max(1, asked):>8.1%}"
-              + "".join(f"{point:>8.2f}" for point in points)
-              + f"{busy / args.seconds:>11.0%}{taken / busy:>12.0f}{taken / busy / alone:>11.2f}{memory / 1024:>6.0f}")
+        print(
+            f"{journal:<9}{rate:>6.0f}{taken / args.seconds:>9.0f}{placed / max(1, asked):>8.1%}"
+            + "".join(f"{point:>8.2f}" for point in points)
+            + f"{busy / args.seconds:>11.0%}{taken / busy:>12.0f}{taken / busy / alone:>11.2f}{memory / 1024:>6.0f}"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -29,7 +29,7 @@
 from linedeal.protocol import pb
 
 LEASE = 2.0
-CLUSTER = '''
+CLUSTER = """
 cluster {{
   controllers = {controllers}
 }}
@@ -48,8 +48,8 @@
   expiry = 8
   effect = "irreversible"
 }}
-'''
-COUNCIL = '''
+"""
+COUNCIL = """
 council {{
   id = "bench"
   lease = {lease}
@@ -63,25 +63,43 @@
   warm = 1
   strain = 1.0
 }}
-'''
+"""
 
 
-def day_of(directory: Path, controllers: int, hosts: int, members: int, lines: str = "", most: int = 2, cells: int = 99,
-           room: float = 1.0, patience: float = 30.0, lease: float = LEASE) -> Day:
+def day_of(
+    directory: Path,
+    controllers: int,
+    hosts: int,
+    members: int,
+    lines: str = "",
+    most: int = 2,
+    cells: int = 99,
+    room: float = 1.0,
+    patience: float = 30.0,
+    lease: float = LEASE,
+) -> Day:
     directory.mkdir(parents=True, exist_ok=True)
     text = CLUSTER.format(controllers=controllers)
     if members:
         text += COUNCIL.format(lease=lease, most=most, cells=cells, room=room, patience=patience)
-        text += "".join(f'member "c{n}" {{\n  address = "council-c{n}:1"\n}}\n' for n in range(1, members + 1))
+        text += "".join(
+            f'member "c{n}" {{\n  address = "council-c{n}:1"\n}}\n' for n in range(1, members + 1)
+        )
     (directory / "cluster.hcl").write_text(text)
-    return parse_day(f"cluster cluster.hcl\ncontrollers {controllers} zones a b\nhosts {hosts} kind std zones a b cells 4\n"
-                     f"{lines or 'load web 1'}\n", str(directory / "bench.day"), directory)
+    return parse_day(
+        f"cluster cluster.hcl\ncontrollers {controllers} zones a b\nhosts {hosts} kind std zones a b cells 4\n"
+        f"{lines or 'load web 1'}\n",
+        str(directory / "bench.day"),
+        directory,
+    )
 
 
 def spread_of(figures: list[float]) -> str:
     ordered = sorted(figures)
-    at = lambda share: ordered[min(len(ordered) - 1, int(share * len(ordered)))]    # noqa: E731
-    return f"p50 {at(0.5):.2f} p90 {at(0.9):.2f} p99 {at(0.99):.2f} most {ordered[-1]:.2f} s of {len(ordered)}"
+    at = lambda share: ordered[min(len(ordered) - 1, int(share * len(ordered)))]  # noqa: E731
+    return (
+        f"p50 {at(0.5):.2f} p90 {at(0.9):.2f} p99 {at(0.99):.2f} most {ordered[-1]:.2f} s of {len(ordered)}"
+    )
 
 
 async def until(holds, within: float):
@@ -93,10 +111,18 @@
 
 # --- the next owner
 
+
 async def takeovers(arguments) -> None:
     with tempfile.TemporaryDirectory() as place:
-        day = day_of(Path(place), arguments.controllers, 4, arguments.members, "habit life=1e9\nload feed 1", 4,
-                     patience=1e9)
+        day = day_of(
+            Path(place),
+            arguments.controllers,
+            4,
+            arguments.members,
+            "habit life=1e9\nload feed 1",
+            4,
+            patience=1e9,
+        )
         faults: list[tuple[str, int]] = []
         async with Processes(day, Path(place) / "day") as ground:
             operator = ground.operator
@@ -106,7 +132,10 @@
                 return found if found.duty.owner else None
 
             await until(standing, 60)
-            for controller in ("c1", "c2"):     # irreversible jobs that never end: hosts drain for as long as it lasts
+            for controller in (
+                "c1",
+                "c2",
+            ):  # irreversible jobs that never end: hosts drain for as long as it lasts
                 async with Client.connect(TcpNet(), ground.controllers[controller], "owner") as client:
                     for _ in range(8):
                         await client.submit(JobAsk("feed", "", "s", 1.0, 1.0))
@@ -125,7 +154,7 @@
                         return found.duty.owner and found.duty.token > duty.token
 
                     await until(passed_on, 60)
-                    await anyio.sleep(1.5 * LEASE)      # the next owner acts; who was stopped goes on
+                    await anyio.sleep(1.5 * LEASE)  # the next owner acts; who was stopped goes on
             print(f"{arguments.changes} changes in {time.monotonic() - begun:.0f} s")
             await ground.order("tap", {"flush": True})
             await anyio.sleep(1.0)
@@ -133,21 +162,32 @@
     marks = [(t, what, who) for t, what, who in traffic.marks if what == "fault"]
     firsts: dict[int, float] = {}
     for order in traffic.orders:
-        firsts[order.token] = min(firsts.get(order.token, float("inf")), order.told if order.done else float("inf"))
+        firsts[order.token] = min(
+            firsts.get(order.token, float("inf")), order.told if order.done else float("inf")
+        )
     gaps: dict[str, list[float]] = {}
     for (t, _, _), (fault, token) in zip(marks, faults):
         later = [first for other, first in firsts.items() if other > token and first < float("inf")]
         if later:
             gaps.setdefault(fault, []).append(min(later) - t)
-    print(f"{arguments.controllers} controllers, {arguments.members} members, lease {LEASE:g} s, from the fault to the next "
-          "owner's first effect carried out:")
+    print(
+        f"{arguments.controllers} controllers, {arguments.members} members, lease {LEASE:g} s, from the fault to the next "
+        "owner's first effect carried out:"
+    )
     for fault, figures in gaps.items():
         print(f"  {fault:5} {spread_of(figures)}")
-    print(f"  all   {spread_of([gap for figures in gaps.values() for gap in figures])}; goal: p99 under {2 * LEASE:g} s")
-    refused = [order for order in traffic.orders if not order.done and order.told < float("inf")
-               and order.token < order.highest]
-    print(f"orders {len(traffic.orders)}; of old owners that reached a host: {len(refused)} refused, "
-          f"{len([b for b in judge_duties(traffic, day.cluster) if b.claim == 'tokens'])} carried out")
+    print(
+        f"  all   {spread_of([gap for figures in gaps.values() for gap in figures])}; goal: p99 under {2 * LEASE:g} s"
+    )
+    refused = [
+        order
+        for order in traffic.orders
+        if not order.done and order.told < float("inf") and order.token < order.highest
+    ]
+    print(
+        f"orders {len(traffic.orders)}; of old owners that reached a host: {len(refused)} refused, "
+        f"{len([b for b in judge_duties(traffic, day.cluster) if b.claim == 'tokens'])} carried out"
+    )
     print("claims broken:", judge_duties(traffic, day.cluster) or "none")
 
 
@@ -177,6 +217,7 @@
 
 # --- what it costs
 
+
 async def load(arguments) -> None:
     for controllers in map(int, arguments.controllers.split(",")):
         found = {}
@@ -197,12 +238,16 @@
                     found[members] = used / seconds, memory_of(ground, names[-1]), memory_of(ground, names[0])
                     if members:
                         frames = council_frames(record, size)
-                        print(f"{controllers:4} controllers, 5 members, lease 6 s: {frames / seconds:.0f} messages/s to and from "
-                              f"the council")
+                        print(
+                            f"{controllers:4} controllers, 5 members, lease 6 s: {frames / seconds:.0f} messages/s to and from "
+                            f"the council"
+                        )
         (off, small, _), (on, large, member) = found[0], found[5]
-        print(f"     processor time of all controllers: {off:.3f} s/s without a council, {on:.3f} with; "
-              f"{1000 * (on - off) / controllers:.2f} ms/s a controller more; memory {small:.0f} MB to {large:.0f} MB, a "
-              f"member {member:.0f} MB")
+        print(
+            f"     processor time of all controllers: {off:.3f} s/s without a council, {on:.3f} with; "
+            f"{1000 * (on - off) / controllers:.2f} ms/s a controller more; memory {small:.0f} MB to {large:.0f} MB, a "
+            f"member {member:.0f} MB"
+        )
 
 
 def council_frames(record: Path, since: int) -> int:
@@ -212,6 +257,7 @@
     from linedeal.lab.record import Entry
     from linedeal.lab.tap import Frames
     import msgspec
+
     decoder, links, frames, count = msgspec.json.Decoder(Entry), set(), {}, 0
     position = 0
     with open(record, "rb") as file:
@@ -228,6 +274,7 @@
 
 # --- placing beside it
 
+
 async def placing(arguments) -> None:
     """Three clusters at once, asked in turn, so that whatever the machine does falls on all of them."""
     kinds = {"off": 0, "on": 3, "dying": 3}
@@ -253,7 +300,9 @@
             chance = random.Random(1)
             for number in range(arguments.rounds):
                 dying = grounds["dying"]
-                victim = f"c{number % 3 + 1}"       # members die and come back; the jobs are asked of c4, which is none
+                victim = (
+                    f"c{number % 3 + 1}"  # members die and come back; the jobs are asked of c4, which is none
+                )
                 await dying.kill(victim)
                 order = list(kinds)
                 chance.shuffle(order)
@@ -261,30 +310,43 @@
                     async with Client.connect(TcpNet(), grounds[kind].controllers["c4"], "owner") as client:
                         for _ in range(arguments.jobs):
                             at = time.perf_counter()
-                            answer = await client.submit(JobAsk("web", "", f"s{chance.randrange(9)}", 0.01, 0.01))
+                            answer = await client.submit(
+                                JobAsk("web", "", f"s{chance.randrange(9)}", 0.01, 0.01)
+                            )
                             assert answer.verdict == "placed", answer
                             delays[kind].append(time.perf_counter() - at)
                 await dying.start(victim)
             done.set()
-    print(f"{arguments.rounds} rounds of {arguments.jobs} jobs one after the other, 4 controllers and 4 hosts a cluster")
+    print(
+        f"{arguments.rounds} rounds of {arguments.jobs} jobs one after the other, 4 controllers and 4 hosts a cluster"
+    )
     for kind, figures in delays.items():
         figures.sort()
-        print(f"  council {kind:6} mean {1000 * statistics.mean(figures):.2f} ms, p50 {1000 * figures[len(figures) // 2]:.2f}, "
-              f"p99 {1000 * figures[int(0.99 * len(figures))]:.2f}; to off: mean "
-              f"{statistics.mean(figures) / statistics.mean(delays['off']):.3f}, p50 "
-              f"{figures[len(figures) // 2] / sorted(delays['off'])[len(figures) // 2]:.3f}, p99 "
-              f"{figures[int(0.99 * len(figures))] / sorted(delays['off'])[int(0.99 * len(figures))]:.3f}")
+        print(
+            f"  council {kind:6} mean {1000 * statistics.mean(figures):.2f} ms, p50 {1000 * figures[len(figures) // 2]:.2f}, "
+            f"p99 {1000 * figures[int(0.99 * len(figures))]:.2f}; to off: mean "
+            f"{statistics.mean(figures) / statistics.mean(delays['off']):.3f}, p50 "
+            f"{figures[len(figures) // 2] / sorted(delays['off'])[len(figures) // 2]:.3f}, p99 "
+            f"{figures[int(0.99 * len(figures))] / sorted(delays['off'])[int(0.99 * len(figures))]:.3f}"
+        )
 
 
 # --- a whole campaign
 
+
 async def release(arguments) -> None:
-    for name, most in (("a few at a time", arguments.most), ("all at once", arguments.hosts), ("one by one", 1)):
+    for name, most in (
+        ("a few at a time", arguments.most),
+        ("all at once", arguments.hosts),
+        ("one by one", 1),
+    ):
         if name == "one by one" and arguments.no_single:
             continue
         with tempfile.TemporaryDirectory() as place:
-            lines = (f"seed 3\nlength 100000\nhabit life=3 setup=0.2\nload web {arguments.hosts / 3} cores=1-4 memory=1-8 "
-                     f"services=12\nload feed {arguments.hosts / 30} cores=1-2 memory=1-4 services=4")
+            lines = (
+                f"seed 3\nlength 100000\nhabit life=3 setup=0.2\nload web {arguments.hosts / 3} cores=1-4 memory=1-8 "
+                f"services=12\nload feed {arguments.hosts / 30} cores=1-2 memory=1-4 services=4"
+            )
             day = day_of(Path(place), 4, arguments.hosts, 3, lines, most, patience=5.0)
             async with Processes(day, Path(place) / "day") as ground:
                 operator = ground.operator
@@ -295,10 +357,13 @@
                     await anyio.sleep(8.0)
                     asked = sum(tally.asked.values())
                     begun = time.monotonic()
-                    await operator.begin("bench", tuple(f"h{n:02}" for n in range(1, arguments.hosts + 1)), {})
+                    await operator.begin(
+                        "bench", tuple(f"h{n:02}" for n in range(1, arguments.hosts + 1)), {}
+                    )
 
                     async def over():
                         return (await operator.standing()).progress.ended
+
                     await until(over, 1200)
                     length = time.monotonic() - begun
                     await anyio.sleep(3.0)
@@ -307,13 +372,19 @@
                 await ground.order("tap", {"flush": True})
                 await anyio.sleep(1.0)
             traffic = audit.gather(read_record(Path(place) / "day" / "traffic.jsonl"))
-        lost = sum(launch.outcome == pb.LOST or launch.lost < launch.ended for launch in traffic.launches.values()
-                   if launch.started < float("inf"))
+        lost = sum(
+            launch.outcome == pb.LOST or launch.lost < launch.ended
+            for launch in traffic.launches.values()
+            if launch.started < float("inf")
+        )
         late = [job for job in traffic.jobs.values() if not job.said or job.said[0][1] != pb.PLACED]
         _, progress = campaigns(traffic)[0]
-        print(f"{name}: {len(progress.done)} of {arguments.hosts} hosts in {length:.0f} s; {lost} of "
-              f"{len(traffic.launches)} launches lost with their host, {len(late)} of {len(traffic.jobs)} jobs not placed, "
-              f"{asked / (length + 3):.1f} jobs/s asked; claims broken: {len(judge_duties(traffic, day.cluster))}", flush=True)
+        print(
+            f"{name}: {len(progress.done)} of {arguments.hosts} hosts in {length:.0f} s; {lost} of "
+            f"{len(traffic.launches)} launches lost with their host, {len(late)} of {len(traffic.jobs)} jobs not placed, "
+            f"{asked / (length + 3):.1f} jobs/s asked; claims broken: {len(judge_duties(traffic, day.cluster))}",
+            flush=True,
+        )
 
 
 def main() -> None:
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -48,9 +48,11 @@
   effect = "irreversible"
 }
 """
-DAY = "cluster cluster.hcl\nseed {seed}\nlength 1\ncontrollers 2\nhabit setup=0.05 life=0.4 look=0.002\n" \
-      "hosts 12 kind std\nload web 1\n"
-RATE = 40.0     # jobs a second, for each controller
+DAY = (
+    "cluster cluster.hcl\nseed {seed}\nlength 1\ncontrollers 2\nhabit setup=0.05 life=0.4 look=0.002\n"
+    "hosts 12 kind std\nload web 1\n"
+)
+RATE = 40.0  # jobs a second, for each controller
 
 
 def play(seed: int, jobs: int, kills: int) -> Counter:
@@ -125,7 +127,9 @@
     runs = -(-args.jobs // args.batch)
     began, total = time.time(), Counter()
     with ProcessPoolExecutor(args.processes) as pool:
-        for found in pool.map(play, range(args.seed, args.seed + runs), [args.batch] * runs, [-(-args.kills // runs)] * runs):
+        for found in pool.map(
+            play, range(args.seed, args.seed + runs), [args.batch] * runs, [-(-args.kills // runs)] * runs
+        ):
             total += found
     total.setdefault("never", 0)
     print(f"{runs} runs of {args.batch} jobs, {time.time() - began:.0f} s on {args.processes} processes")
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -84,11 +84,23 @@
     async with anyio.create_task_group() as tasks:
         await tasks.start(Discovery(net).run, ("discovery", 1))
         for name, copies in held.items():
-            model = HostModel(name, "std", cluster, Habits(life=1e6, queue=10**6, starts=10**6), 1, Random(name),
-                              anyio.current_time(), False)
+            model = HostModel(
+                name,
+                "std",
+                cluster,
+                Habits(life=1e6, queue=10**6, starts=10**6),
+                1,
+                Random(name),
+                anyio.current_time(),
+                False,
+            )
             for number, job in copies:
-                copy = Copy(("c", 1, number), pb.JobSpec(id=job.id, offering=job.offering, service=job.service,
-                                                         cores=1.0, memory=1.0), 1.0, pb.RUNNING)
+                copy = Copy(
+                    ("c", 1, number),
+                    pb.JobSpec(id=job.id, offering=job.offering, service=job.service, cores=1.0, memory=1.0),
+                    1.0,
+                    pb.RUNNING,
+                )
                 model.copies[copy.id] = copy
             await tasks.start(HostServer(model, net, ("discovery", 1), f"{name}:1", "z", 0).run, (name, 1))
         await anyio.sleep(0.5)
@@ -121,10 +133,16 @@
         with tempfile.TemporaryDirectory() as place:
             result = anyio.run(measure, Path(place), jobs, args.hosts)
         base = base or result
-        print(", ".join(f"{name} {value:.3f} s" if isinstance(value, float) else f"{name} {value}"
-                        for name, value in result.items()))
-        print(f"  {jobs / base['jobs']:g} times the jobs, decided in {result['decided'] / base['decided']:.2f} times the "
-              f"time, answered in {result['answered'] / base['answered']:.2f} times")
+        print(
+            ", ".join(
+                f"{name} {value:.3f} s" if isinstance(value, float) else f"{name} {value}"
+                for name, value in result.items()
+            )
+        )
+        print(
+            f"  {jobs / base['jobs']:g} times the jobs, decided in {result['decided'] / base['decided']:.2f} times the "
+            f"time, answered in {result['answered'] / base['answered']:.2f} times"
+        )
 
 
 if __name__ == "__main__":
--- a/linedeal/audit/duties.py
+++ b/linedeal/audit/duties.py
@@ -11,13 +11,15 @@
 from linedeal.protocol import pb
 from linedeal.settings.records import Cluster
 
-KNOWN = 6.0         # seconds after a host's death within which an owner need not know of it: two silent, a late list
-CLAIMS = {"tokens": "the tokens of effects carried out never go down, and each is one owner's",
-          "planned": "nothing is ordered that does not stand in the council",
-          "twice": "no host is drained twice for one campaign",
-          "limit": "never more hosts out at once than may be, deaths counted",
-          "irreversible": "no host is replaced under an irreversible job",
-          "ends": "each campaign ends, or says why it stands"}
+KNOWN = 6.0  # seconds after a host's death within which an owner need not know of it: two silent, a late list
+CLAIMS = {
+    "tokens": "the tokens of effects carried out never go down, and each is one owner's",
+    "planned": "nothing is ordered that does not stand in the council",
+    "twice": "no host is drained twice for one campaign",
+    "limit": "never more hosts out at once than may be, deaths counted",
+    "irreversible": "no host is replaced under an irreversible job",
+    "ends": "each campaign ends, or says why it stands",
+}
 STAGES = {pb.HOST_DRAIN: Stage.DRAINS, pb.HOST_REPLACE: Stage.REPLACES}
 
 
@@ -30,8 +32,14 @@
 
 def judge_duties(traffic: Traffic, cluster: Cluster) -> list[DutyBreach]:
     """Every breach, in order of time; empty when all claims hold."""
-    found = [*tokens(traffic), *planned(traffic), *twice(traffic), *limits(traffic, cluster),
-             *irreversible(traffic, cluster), *ends(traffic)]
+    found = [
+        *tokens(traffic),
+        *planned(traffic),
+        *twice(traffic),
+        *limits(traffic, cluster),
+        *irreversible(traffic, cluster),
+        *ends(traffic),
+    ]
     return sorted(found, key=lambda breach: (breach.t, breach.claim, breach.text))
 
 
@@ -46,14 +54,22 @@
         places.setdefault((order.to, order.duty), []).append(order)
     for order in traffic.orders:
         if owners.setdefault((order.duty, order.token), order.owner) != order.owner:
-            yield DutyBreach("tokens", order.t, f"token {order.token} of {order.duty} is {order.owner}'s and "
-                                                f"{owners[order.duty, order.token]}'s")
+            yield DutyBreach(
+                "tokens",
+                order.t,
+                f"token {order.token} of {order.duty} is {order.owner}'s and "
+                f"{owners[order.duty, order.token]}'s",
+            )
     for (place, duty), orders in places.items():
         for late in orders:
             before = max((other.token for other in orders if other.told < late.came), default=0)
             if late.token < max(before, late.highest):
-                yield DutyBreach("tokens", late.told, f"{place} carried out token {late.token} of {duty} by {late.owner} "
-                                                      f"after {max(before, late.highest)}")
+                yield DutyBreach(
+                    "tokens",
+                    late.told,
+                    f"{place} carried out token {late.token} of {duty} by {late.owner} "
+                    f"after {max(before, late.highest)}",
+                )
 
 
 def progresses(traffic: Traffic) -> list[tuple[float, float, Progress]]:
@@ -64,7 +80,7 @@
             try:
                 found.append((change.t, change.made, campaign.read(decoded(change.body).progress, Progress)))
             except Refusal:
-                pass        # refused by whoever reads it, too
+                pass  # refused by whoever reads it, too
     return found
 
 
@@ -84,12 +100,16 @@
         if order.kind in STAGES:
             stands = first.get((order.campaign, order.host, order.boot, STAGES[order.kind]), NEVER)
             if order.t < stands:
-                yield DutyBreach("planned", order.t, f"{order.owner} ordered {STAGES[order.kind].name.lower()} for "
-                                                     f"{order.host} boot {order.boot}, which does not stand in the council")
+                yield DutyBreach(
+                    "planned",
+                    order.t,
+                    f"{order.owner} ordered {STAGES[order.kind].name.lower()} for "
+                    f"{order.host} boot {order.boot}, which does not stand in the council",
+                )
 
 
 def twice(traffic: Traffic):
-    replaced: dict[tuple[str, str], float] = {}     # since when, by campaign and host
+    replaced: dict[tuple[str, str], float] = {}  # since when, by campaign and host
     for order in carried_out(traffic):
         if order.kind == pb.HOST_REPLACE:
             key = order.campaign, order.host
@@ -97,7 +117,9 @@
     for order in carried_out(traffic):
         since = replaced.get((order.campaign, order.host), NEVER)
         if order.kind == pb.HOST_DRAIN and order.came > since:
-            yield DutyBreach("twice", order.t, f"{order.host} was drained for {order.campaign} after it had been replaced")
+            yield DutyBreach(
+                "twice", order.t, f"{order.host} was drained for {order.campaign} after it had been replaced"
+            )
 
 
 def spans_of(traffic: Traffic) -> tuple[dict, dict]:
@@ -133,18 +155,29 @@
         if order.kind != pb.HOST_DRAIN or (order.host, order.boot) in seen:
             continue
         seen.add((order.host, order.boot))
-        planned_at = min(order.told, stands.get((order.campaign, order.host, order.boot, Stage.DRAINS), NEVER))
+        planned_at = min(
+            order.told, stands.get((order.campaign, order.host, order.boot, Stage.DRAINS), NEVER)
+        )
         plan = plans.get(order.campaign)
         bounds = cluster.campaign.bounds if plan is None else plan.bounds.within(cluster.campaign.bounds)
-        away = {order.host} | {host for host, spans in out.items() if any(a < order.told < b for a, b in spans)}
+        away = {order.host} | {
+            host for host, spans in out.items() if any(a < order.told < b for a, b in spans)
+        }
         away |= {host for host, spans in dead.items() if any(a + KNOWN < planned_at < b for a, b in spans)}
         away = sorted(host for host in away if plan is None or host in plan.fleet)
         if len(away) > bounds.most:
-            yield DutyBreach("limit", order.told, f"{len(away)} hosts are out as {order.host} drains "
-                                                  f"({campaign.named(away)}), {bounds.most} may be")
+            yield DutyBreach(
+                "limit",
+                order.told,
+                f"{len(away)} hosts are out as {order.host} drains "
+                f"({campaign.named(away)}), {bounds.most} may be",
+            )
         if plan is not None and len(cells := {plan.fleet[host][1] for host in away}) > bounds.cells:
-            yield DutyBreach("limit", order.told, f"hosts of {len(cells)} cells are out as {order.host} drains, "
-                                                  f"{bounds.cells} may be")
+            yield DutyBreach(
+                "limit",
+                order.told,
+                f"hosts of {len(cells)} cells are out as {order.host} drains, {bounds.cells} may be",
+            )
 
 
 def irreversible(traffic: Traffic, cluster: Cluster):
@@ -152,8 +185,12 @@
     for t, what, who in traffic.marks:
         if what == "replace":
             for launch in traffic.launches.values():
-                if launch.host == who and offerings[launch.job.offering].effect is Effect.IRREVERSIBLE \
-                        and launch.accepted < t < min(launch.ended, launch.lost) and not over_unheard(traffic, launch, t):
+                if (
+                    launch.host == who
+                    and offerings[launch.job.offering].effect is Effect.IRREVERSIBLE
+                    and launch.accepted < t < min(launch.ended, launch.lost)
+                    and not over_unheard(traffic, launch, t)
+                ):
                     yield DutyBreach("irreversible", t, f"{who} was replaced under {launch.job.id}")
 
 
@@ -161,8 +198,14 @@
     """An end that comes while its controller is away is told to nobody before that one's next link, and may go with the
     host. Over by the host's own word, then: asked after the last link that knew of it had ended, it drained, so that
     nothing new came, and held no irreversible job. While a link stands, only what is told on it counts."""
-    return any(order.to == launch.host and order.at == launch.boot and order.clear and launch.unheard < order.came
-               and order.told < t for order in traffic.orders)
+    return any(
+        order.to == launch.host
+        and order.at == launch.boot
+        and order.clear
+        and launch.unheard < order.came
+        and order.told < t
+        for order in traffic.orders
+    )
 
 
 def campaigns(traffic: Traffic) -> list[tuple[Plan, Progress]]:
@@ -172,7 +215,11 @@
 
 
 def plans_of(traffic: Traffic) -> dict[str, Plan]:
-    plans = [campaign.read(change.body, Plan) for change in traffic.changes if change.key == PLAN and change.made < NEVER]
+    plans = [
+        campaign.read(change.body, Plan)
+        for change in traffic.changes
+        if change.key == PLAN and change.made < NEVER
+    ]
     return {plan.id: plan for plan in plans}
 
 
--- a/linedeal/audit/traffic.py
+++ b/linedeal/audit/traffic.py
@@ -22,19 +22,19 @@
     wait: float
     link: int
     boot: int
-    held_back: bool             # a cut kept it when it came
+    held_back: bool  # a cut kept it when it came
     link_end: float = NEVER
     accepted: float = NEVER
     started: float = NEVER
     refused: float = NEVER
     ended: float = NEVER
     stopped: float = NEVER
-    lost: float = NEVER         # a later welcome of another boot, or the host told as gone
-    absent: float = NEVER       # a later welcome of the same boot that does not name it: it never ran
-    heard_on: object = None     # the last link that was told of it, as it was offered or by its welcome
-    unheard: float = NEVER      # since when that one has ended: what comes of the launch then is told to nobody
+    lost: float = NEVER  # a later welcome of another boot, or the host told as gone
+    absent: float = NEVER  # a later welcome of the same boot that does not name it: it never ran
+    heard_on: object = None  # the last link that was told of it, as it was offered or by its welcome
+    unheard: float = NEVER  # since when that one has ended: what comes of the launch then is told to nobody
     outcome: int = 0
-    uses: list[tuple[float, float]] = field(default_factory=list)   # when told, cores in use
+    uses: list[tuple[float, float]] = field(default_factory=list)  # when told, cores in use
 
     @property
     def never_ran(self) -> float:
@@ -56,10 +56,10 @@
     answers: list[tuple[float, int]] = field(default_factory=list)
     left: float = NEVER
     session: str = ""
-    told: list[tuple[float, int]] = field(default_factory=list)     # verdicts shown by its standing
-    began: float = 0.0          # when its time to find a host began, where not as it was taken
-    over: bool = False          # its owner has let go of it: the key is free
-    aside: bool = False         # held, or its start time has not come
+    told: list[tuple[float, int]] = field(default_factory=list)  # verdicts shown by its standing
+    began: float = 0.0  # when its time to find a host began, where not as it was taken
+    over: bool = False  # its owner has let go of it: the key is free
+    aside: bool = False  # held, or its start time has not come
     launches: list[LaunchSeen] = field(default_factory=list)
 
     @property
@@ -80,8 +80,8 @@
 class OrderSeen:
     """An order of a duty's owner, and what it was told."""
 
-    t: float                    # as it came to the recorder
-    held: bool                  # a cut kept it then
+    t: float  # as it came to the recorder
+    held: bool  # a cut kept it then
     to: str
     owner: str
     duty: str
@@ -92,9 +92,9 @@
     boot: int
     told: float = NEVER
     done: bool = False
-    highest: int = 0            # token that the other side had seen
-    at: int = 0                 # boot of the host that answered
-    clear: bool = False         # the host said that it drains, and held no irreversible job
+    highest: int = 0  # token that the other side had seen
+    at: int = 0  # boot of the host that answered
+    clear: bool = False  # the host said that it drains, and held no irreversible job
 
     @property
     def came(self) -> float:
@@ -109,7 +109,7 @@
     t: float
     key: str
     body: bytes
-    made: float = NEVER         # when its asker was told that it is made
+    made: float = NEVER  # when its asker was told that it is made
 
 
 @dataclass(slots=True)
@@ -120,10 +120,12 @@
     hello: object = None
     opened: float = 0.0
     boot: int = 0
-    asks: dict[str, deque] = field(default_factory=dict)    # not answered yet, by key
+    asks: dict[str, deque] = field(default_factory=dict)  # not answered yet, by key
     launches: list[LaunchSeen] = field(default_factory=list)
-    knows: list[LaunchSeen] = field(default_factory=list)   # those, and the ones that its welcome named
-    numbered: dict[int, object] = field(default_factory=dict)   # orders or changes of this link by their numbers
+    knows: list[LaunchSeen] = field(default_factory=list)  # those, and the ones that its welcome named
+    numbered: dict[int, object] = field(
+        default_factory=dict
+    )  # orders or changes of this link by their numbers
     broken: bool = False
 
 
@@ -133,14 +135,20 @@
 
     jobs: dict[str, JobSeen] = field(default_factory=dict)
     launches: dict[tuple, LaunchSeen] = field(default_factory=dict)
-    told: dict[tuple, Told] = field(default_factory=dict)       # by controller, life, host
-    sessions: dict[tuple[str, str], list[list[float]]] = field(default_factory=dict)    # links of a controller's session
-    places: dict[str, tuple[str, int]] = field(default_factory=dict)    # zone and cell, by host
+    told: dict[tuple, Told] = field(default_factory=dict)  # by controller, life, host
+    sessions: dict[tuple[str, str], list[list[float]]] = field(
+        default_factory=dict
+    )  # links of a controller's session
+    places: dict[str, tuple[str, int]] = field(default_factory=dict)  # zone and cell, by host
     booted: dict[tuple[str, int], float] = field(default_factory=dict)  # by host and boot
     marks: list[tuple[float, str, str]] = field(default_factory=list)
-    found: list[tuple] = field(default_factory=list)    # welcome's time, controller, life, launch of an earlier life
+    found: list[tuple] = field(
+        default_factory=list
+    )  # welcome's time, controller, life, launch of an earlier life
     turned_away: int = 0
-    doubled: list[tuple[float, int, str]] = field(default_factory=list)     # numbers used twice: time, rule, what
+    doubled: list[tuple[float, int, str]] = field(
+        default_factory=list
+    )  # numbers used twice: time, rule, what
     orders: list[OrderSeen] = field(default_factory=list)
     changes: list[ChangeSeen] = field(default_factory=list)
     bad_frames: list[tuple[float, str, str]] = field(default_factory=list)
@@ -164,7 +172,7 @@
     def __init__(self):
         self.traffic = Traffic()
         self.links: dict[int, LinkSeen] = {}
-        self.keys: dict[tuple[str, str, str], str] = {}      # job by controller, session and key
+        self.keys: dict[tuple[str, str, str], str] = {}  # job by controller, session and key
         self.life_hosts: dict[tuple, set[str]] = {}
 
     def take(self, entry: Entry) -> None:
@@ -196,7 +204,7 @@
                 launch.unheard = min(launch.unheard, t)
         if link.hello is None or link.hello.role != pb.CLIENT:
             return
-        if link.hello.session:      # its jobs go on; while no link stands nothing can be told
+        if link.hello.session:  # its jobs go on; while no link stands nothing can be told
             for span in self.traffic.sessions.get((link.to, link.hello.session), ()):
                 if span[2] == id(link):
                     span[1] = min(span[1], t)
@@ -209,7 +217,9 @@
         if isinstance(message, pb.Hello) and entry.d == ">":
             link.hello = message
             if message.role == pb.CLIENT and message.session:
-                self.traffic.sessions.setdefault((link.to, message.session), []).append([entry.t, NEVER, id(link)])
+                self.traffic.sessions.setdefault((link.to, message.session), []).append(
+                    [entry.t, NEVER, id(link)]
+                )
         elif link.hello is not None:
             handler = HANDLERS.get((link.hello.role, entry.d, type(message)))
             if handler is not None:
@@ -226,15 +236,31 @@
         if known is not None:
             if not known.session or (known.session, known.key) != (link.hello.session, message.key):
                 self.traffic.doubled.append((entry.t, 1, f"{message.job} was taken twice"))
-            return      # joined by its own session and key
+            return  # joined by its own session and key
         other = self.keys.get((link.to, link.hello.session, message.key)) if link.hello.session else None
         if other is not None and not self.traffic.jobs[other].over:
-            self.traffic.doubled.append((entry.t, 1, f"key {message.key} of session {link.hello.session} was taken as "
-                                                     f"{other} and as {message.job}"))
+            self.traffic.doubled.append(
+                (
+                    entry.t,
+                    1,
+                    f"key {message.key} of session {link.hello.session} was taken as "
+                    f"{other} and as {message.job}",
+                )
+            )
         self.keys[link.to, link.hello.session, message.key] = message.job
         job = self.traffic.jobs[message.job] = JobSeen(
-            message.job, link.to, ask.job.offering, ask.job.customer, ask.job.cores, message.key, id(link), entry.t,
-            ask.wait, session=link.hello.session, aside=ask.hold)
+            message.job,
+            link.to,
+            ask.job.offering,
+            ask.job.customer,
+            ask.job.cores,
+            message.key,
+            id(link),
+            entry.t,
+            ask.wait,
+            session=link.hello.session,
+            aside=ask.hold,
+        )
         if ask.start_in:
             job.began = entry.t + ask.start_in
 
@@ -278,12 +304,28 @@
         return self.traffic.launches.get((launch.controller, launch.life, launch.number))
 
     def offer(self, entry, link, message) -> None:
-        seen = LaunchSeen(message.launch.controller, message.launch.life, message.launch.number, message.job, link.to,
-                          entry.t, message.wait, entry.link, link.boot, entry.held)
+        seen = LaunchSeen(
+            message.launch.controller,
+            message.launch.life,
+            message.launch.number,
+            message.job,
+            link.to,
+            entry.t,
+            message.wait,
+            entry.link,
+            link.boot,
+            entry.held,
+        )
         key = seen.controller, seen.life, seen.number
         if key in self.traffic.launches:
-            self.traffic.doubled.append((entry.t, 2, f"launch {key[1]}.{key[2]} of {key[0]} was sent twice, to "
-                                                     f"{self.traffic.launches[key].host} and {seen.host}"))
+            self.traffic.doubled.append(
+                (
+                    entry.t,
+                    2,
+                    f"launch {key[1]}.{key[2]} of {key[0]} was sent twice, to "
+                    f"{self.traffic.launches[key].host} and {seen.host}",
+                )
+            )
         self.traffic.launches[key] = seen
         link.launches.append(seen)
         self.hears(link, seen)
@@ -349,8 +391,18 @@
     # -- duties
 
     def order(self, entry, link, message) -> None:
-        seen = OrderSeen(entry.t, entry.held, link.to, link.hello.name, message.duty, message.token, message.campaign,
-                         message.kind, message.host, message.boot)
+        seen = OrderSeen(
+            entry.t,
+            entry.held,
+            link.to,
+            link.hello.name,
+            message.duty,
+            message.token,
+            message.campaign,
+            message.kind,
+            message.host,
+            message.boot,
+        )
         self.traffic.orders.append(seen)
         link.numbered[message.number] = seen
 
@@ -372,10 +424,13 @@
             seen.made = entry.t
 
 
-PLAN, CAMPAIGN = "campaign/plan", "duty/campaign"       # registers, as docs/protocol.md names them
+PLAN, CAMPAIGN = "campaign/plan", "duty/campaign"  # registers, as docs/protocol.md names them
 AT_HOST = (pb.STAGE_PLACED, pb.STAGE_RUNNING, pb.STAGE_DONE, pb.STAGE_ERROR, pb.STAGE_LOST, pb.STAGE_STOPPED)
-STAGE_VERDICTS = {pb.STAGE_REJECTED: pb.REJECTED, pb.STAGE_WRITTEN_OFF: pb.WRITTEN_OFF,
-                  **dict.fromkeys(AT_HOST, pb.PLACED)}
+STAGE_VERDICTS = {
+    pb.STAGE_REJECTED: pb.REJECTED,
+    pb.STAGE_WRITTEN_OFF: pb.WRITTEN_OFF,
+    **dict.fromkeys(AT_HOST, pb.PLACED),
+}
 
 
 def said(what):
@@ -389,22 +444,31 @@
                 launch.accepted = min(launch.accepted, entry.t)
             elif what == "ended":
                 launch.outcome = message.outcome
+
     return handler
 
 
 HANDLERS = {
-    (pb.CLIENT, ">", pb.Submit): Reader.submit, (pb.CLIENT, "<", pb.Taken): Reader.taken,
-    (pb.CLIENT, "<", pb.TurnedAway): Reader.turned_away, (pb.CLIENT, "<", pb.Answer): Reader.answer,
-    (pb.CLIENT, ">", pb.TakeBack): Reader.take_back, (pb.CLIENT, "<", pb.Standing): Reader.standing,
-    (pb.CLIENT, "<", pb.Ordered): Reader.ordered, (pb.CLIENT, ">", pb.Forget): Reader.forget,
+    (pb.CLIENT, ">", pb.Submit): Reader.submit,
+    (pb.CLIENT, "<", pb.Taken): Reader.taken,
+    (pb.CLIENT, "<", pb.TurnedAway): Reader.turned_away,
+    (pb.CLIENT, "<", pb.Answer): Reader.answer,
+    (pb.CLIENT, ">", pb.TakeBack): Reader.take_back,
+    (pb.CLIENT, "<", pb.Standing): Reader.standing,
+    (pb.CLIENT, "<", pb.Ordered): Reader.ordered,
+    (pb.CLIENT, ">", pb.Forget): Reader.forget,
     (pb.CLIENT, ">", pb.AnswerSeen): Reader.forget,
-    (pb.CONTROLLER, ">", pb.Offer): Reader.offer, (pb.CONTROLLER, "<", pb.Welcome): Reader.welcome,
-    (pb.CONTROLLER, "<", pb.HostList): Reader.host_list, (pb.CONTROLLER, "<", pb.Use): Reader.use,
+    (pb.CONTROLLER, ">", pb.Offer): Reader.offer,
+    (pb.CONTROLLER, "<", pb.Welcome): Reader.welcome,
+    (pb.CONTROLLER, "<", pb.HostList): Reader.host_list,
+    (pb.CONTROLLER, "<", pb.Use): Reader.use,
     (pb.CONTROLLER, "<", pb.Accepted): said("accepted"),
     (pb.CONTROLLER, "<", pb.Refused): said("refused"),
     (pb.CONTROLLER, "<", pb.Started): said("started"),
     (pb.CONTROLLER, "<", pb.Ended): said("ended"),
     (pb.CONTROLLER, ">", pb.Stop): said("stopped"),
-    (pb.OWNER, ">", pb.DutyOrder): Reader.order, (pb.OWNER, "<", pb.DutyTold): Reader.order_told,
-    (pb.CONTROLLER, ">", pb.CouncilAsk): Reader.council_ask, (pb.CONTROLLER, "<", pb.CouncilTold): Reader.council_told,
+    (pb.OWNER, ">", pb.DutyOrder): Reader.order,
+    (pb.OWNER, "<", pb.DutyTold): Reader.order_told,
+    (pb.CONTROLLER, ">", pb.CouncilAsk): Reader.council_ask,
+    (pb.CONTROLLER, "<", pb.CouncilTold): Reader.council_told,
 }
--- a/linedeal/cli.py
+++ b/linedeal/cli.py
@@ -19,15 +19,27 @@
 
 from linedeal import cli_fleet, cli_jobs, processes
 
-app = typer.Typer(no_args_is_help=True, add_completion=False, pretty_exceptions_enable=False, rich_markup_mode=None,
-                  help="linedeal places long-running jobs on a cluster's hosts.", epilog=__doc__.split("\n\n")[1])
+app = typer.Typer(
+    no_args_is_help=True,
+    add_completion=False,
+    pretty_exceptions_enable=False,
+    rich_markup_mode=None,
+    help="linedeal places long-running jobs on a cluster's hosts.",
+    epilog=__doc__.split("\n\n")[1],
+)
 
 Listen = Annotated[str, typer.Option(help="HOST:PORT; port 0 takes a free one")]
 ClusterFile = Annotated[str, typer.Option("--cluster", help="the cluster's HCL file")]
-Control = Annotated[bool, typer.Option("--control", hidden=True, help="orders on standard input, end with it")]
+Control = Annotated[
+    bool, typer.Option("--control", hidden=True, help="orders on standard input, end with it")
+]
 Json = Annotated[bool, typer.Option("--json", help="for programs")]
-CouncilKey = Annotated[Optional[str], typer.Option(
-    help="file that holds the key shown to the council's members; or LINEDEAL_COUNCIL_KEY holds it")]
+CouncilKey = Annotated[
+    Optional[str],
+    typer.Option(
+        help="file that holds the key shown to the council's members; or LINEDEAL_COUNCIL_KEY holds it"
+    ),
+]
 Backend = Annotated[str, typer.Option(help="asyncio or trio")]
 
 
@@ -50,7 +62,7 @@
         error = caught
     status = status_of(error)
     if status is None:
-        raise error     # a fault of the program: all of it is shown
+        raise error  # a fault of the program: all of it is shown
     print(f"linedeal: {error}", file=sys.stderr)
     sys.exit(status)
 
@@ -67,13 +79,18 @@
     from linedeal.settings.cluster import ConfigFault
     from linedeal.standin.orders import FenceFault
     from linedeal.state import StoreFault
-    statuses = (((ConfigFault, DayFault, BadRecord), 1), ((StoreFault, ProcessFault, FenceFault, OSError), 3),
-                (Halted, 4))
+
+    statuses = (
+        ((ConfigFault, DayFault, BadRecord), 1),
+        ((StoreFault, ProcessFault, FenceFault, OSError), 3),
+        (Halted, 4),
+    )
     return next((status for kinds, status in statuses if isinstance(error, kinds)), None)
 
 
 def address_of(text: str):
     from linedeal.net import parse_address
+
     try:
         return parse_address(text)
     except ValueError as error:
@@ -94,7 +111,10 @@
     """`clock`: seconds of this process's clock in a true second; other than 1 in days alone."""
     if clock != 1.0:
         from linedeal.lab.clocks import RatedLoop
-        return anyio.run(work, *args, backend="asyncio", backend_options={"loop_factory": lambda: RatedLoop(clock)})
+
+        return anyio.run(
+            work, *args, backend="asyncio", backend_options={"loop_factory": lambda: RatedLoop(clock)}
+        )
     if backend not in ("asyncio", "trio"):
         raise Fault(f"no backend {backend!r}, asyncio or trio", 2)
     # uvloop carries the same asyncio code at less cost a message; where it is missing nothing else changes
@@ -106,6 +126,7 @@
 def check_config(file: str, as_json: Json = False):
     """Names every fault of a cluster file, a line each; says nothing is wrong otherwise."""
     from linedeal.settings.cluster import ConfigFault, read_cluster
+
     try:
         cluster = read_cluster(file)
         faults = []
@@ -116,23 +137,39 @@
     elif faults:
         print("\n".join(faults))
     else:
-        print(f"{file}: sound: {len(cluster.settings.offerings)} offerings, {len(cluster.settings.kinds)} kinds, "
-              f"{len(cluster.settings.quotas)} customers")
+        print(
+            f"{file}: sound: {len(cluster.settings.offerings)} offerings, {len(cluster.settings.kinds)} kinds, "
+            f"{len(cluster.settings.quotas)} customers"
+        )
     raise typer.Exit(1 if faults else 0)
 
 
-@app.command(epilog="Example: linedeal controller --name c1 --cluster examples/cluster.hcl "
-                    "--discovery 127.0.0.1:7000 --state /var/lib/linedeal/c1 --listen 127.0.0.1:7100")
-def controller(name: Annotated[str, typer.Option(help="of this controller, the same in all its lives")],
-               cluster: ClusterFile, discovery: Annotated[str, typer.Option(help="HOST:PORT of discovery")],
-               state: Annotated[str, typer.Option(help="directory that this controller alone uses")],
-               listen: Listen = "127.0.0.1:0", seed: Annotated[Optional[int], typer.Option(help="of its chance")] = None,
-               council_listen: Annotated[Optional[str], typer.Option(
-                   help="HOST:PORT for the council, where it is not the cluster file's")] = None,
-               council_key: CouncilKey = None,
-               as_json: Json = False, verbose: bool = False, backend: Backend = "asyncio", control: Control = False,
-               policy: Annotated[str, typer.Option(hidden=True, help="a base line for the module, in days")] = "linedeal",
-               clock: Annotated[float, typer.Option(hidden=True, help="rate of its clock, for days", min=0.5, max=2.0)] = 1.0):
+@app.command(
+    epilog="Example: linedeal controller --name c1 --cluster examples/cluster.hcl "
+    "--discovery 127.0.0.1:7000 --state /var/lib/linedeal/c1 --listen 127.0.0.1:7100"
+)
+def controller(
+    name: Annotated[str, typer.Option(help="of this controller, the same in all its lives")],
+    cluster: ClusterFile,
+    discovery: Annotated[str, typer.Option(help="HOST:PORT of discovery")],
+    state: Annotated[str, typer.Option(help="directory that this controller alone uses")],
+    listen: Listen = "127.0.0.1:0",
+    seed: Annotated[Optional[int], typer.Option(help="of its chance")] = None,
+    council_listen: Annotated[
+        Optional[str], typer.Option(help="HOST:PORT for the council, where it is not the cluster file's")
+    ] = None,
+    council_key: CouncilKey = None,
+    as_json: Json = False,
+    verbose: bool = False,
+    backend: Backend = "asyncio",
+    control: Control = False,
+    policy: Annotated[
+        str, typer.Option(hidden=True, help="a base line for the module, in days")
+    ] = "linedeal",
+    clock: Annotated[
+        float, typer.Option(hidden=True, help="rate of its clock, for days", min=0.5, max=2.0)
+    ] = 1.0,
+):
     """A controller: takes jobs from clients, decides, launches them on hosts, answers.
 
     SIGTERM ends it after the jobs that it holds are answered.
@@ -142,12 +179,20 @@
     from linedeal.net import TcpNet
     from linedeal.settings.cluster import read_cluster
     from linedeal.state import Store
-    setup = Setup(name, read_cluster(cluster), address_of(listen), address_of(discovery),
-                  random.SystemRandom().randrange(1 << 30) if seed is None else seed,
-                  address_of(council_listen) if council_listen else None, key_in(council_key))
+
+    setup = Setup(
+        name,
+        read_cluster(cluster),
+        address_of(listen),
+        address_of(discovery),
+        random.SystemRandom().randrange(1 << 30) if seed is None else seed,
+        address_of(council_listen) if council_listen else None,
+        key_in(council_key),
+    )
     decides = {}
     if policy != "linedeal":
         from linedeal.lab.baselines import POLICIES
+
         if policy not in POLICIES:
             raise Fault(f"no policy {policy!r}: {', '.join(POLICIES)}", 2)
         decides = {"policy": POLICIES[policy]}
@@ -155,9 +200,11 @@
 
     async def work():
         async with anyio.create_task_group() as tasks:
+
             async def serve():
                 await runtime.run(task_status=Told())
                 tasks.cancel_scope.cancel()
+
             tasks.start_soon(serve)
             tasks.start_soon(processes.until_told, runtime.leave)
             if control:
@@ -170,6 +217,7 @@
 def clock_order(order: dict) -> None:
     """`jump`: seconds by which a clock that was given a rate is set forward."""
     import asyncio
+
     for name, value in order.items():
         if name != "jump":
             raise ValueError(f"no order {name!r}")
@@ -189,10 +237,12 @@
 async def serve_stand_in(server, listen, control: bool, log) -> None:
     """A stand-in until it is told to end, or its standard input ends."""
     async with anyio.create_task_group() as tasks:
+
         async def serve():
             await server.run(listen, task_status=Told())
             log.error("fell over")
             tasks.cancel_scope.cancel()
+
         tasks.start_soon(serve)
         tasks.start_soon(processes.until_told, tasks.cancel_scope.cancel)
         if control:
@@ -200,16 +250,30 @@
             tasks.cancel_scope.cancel()
 
 
-@app.command(epilog="Example: linedeal host --name h1 --kind std --zone a --cluster examples/cluster.hcl "
-                    "--discovery 127.0.0.1:7000")
-def host(name: Annotated[str, typer.Option()], kind: Annotated[str, typer.Option()], cluster: ClusterFile,
-         discovery: Annotated[str, typer.Option(help="HOST:PORT of discovery")], listen: Listen = "127.0.0.1:0",
-         zone: str = "a", cell: int = 0, seed: int = 1,
-         boot: Annotated[int, typer.Option(help="larger at each start; 0: by the clock")] = 0,
-         habits: Annotated[str, typer.Option(help="JSON, see docs/days.md")] = "{}",
-         advertise: Annotated[str, typer.Option(help="address that discovery tells; else the one it listens at")] = "",
-         fence: Annotated[Optional[str], typer.Option(help="file that keeps the highest tokens of duties' owners")] = None,
-         young: bool = False, control: Control = False):
+@app.command(
+    epilog="Example: linedeal host --name h1 --kind std --zone a --cluster examples/cluster.hcl "
+    "--discovery 127.0.0.1:7000"
+)
+def host(
+    name: Annotated[str, typer.Option()],
+    kind: Annotated[str, typer.Option()],
+    cluster: ClusterFile,
+    discovery: Annotated[str, typer.Option(help="HOST:PORT of discovery")],
+    listen: Listen = "127.0.0.1:0",
+    zone: str = "a",
+    cell: int = 0,
+    seed: int = 1,
+    boot: Annotated[int, typer.Option(help="larger at each start; 0: by the clock")] = 0,
+    habits: Annotated[str, typer.Option(help="JSON, see docs/days.md")] = "{}",
+    advertise: Annotated[
+        str, typer.Option(help="address that discovery tells; else the one it listens at")
+    ] = "",
+    fence: Annotated[
+        Optional[str], typer.Option(help="file that keeps the highest tokens of duties' owners")
+    ] = None,
+    young: bool = False,
+    control: Control = False,
+):
     """A stand-in for a host: accepts, refuses, starts and ends jobs as a host would; nothing is really run."""
     from random import Random
     from linedeal import logs
@@ -217,6 +281,7 @@
     from linedeal.settings.cluster import read_cluster
     from linedeal.standin.host import HostServer
     from linedeal.standin.model import Habits, HostModel
+
     log, settings = logs.setup(False, False), read_cluster(cluster)
     if kind not in settings.settings.kinds:
         raise Fault(f"no kind {kind!r} in {cluster}", 2)
@@ -227,10 +292,14 @@
     boot = boot or time.time_ns() // 1_000_000
 
     async def work():
-        model = HostModel(name, kind, settings, habit, boot, Random(f"{seed} {name} {boot}"), anyio.current_time(), young)
+        model = HostModel(
+            name, kind, settings, habit, boot, Random(f"{seed} {name} {boot}"), anyio.current_time(), young
+        )
         # under control the address that is told comes as an order: it is a route that does not stand yet
         told = advertise or ("" if control else "itself")
-        server = HostServer(model, TcpNet(), address_of(discovery), told, zone, cell, Path(fence) if fence else None)
+        server = HostServer(
+            model, TcpNet(), address_of(discovery), told, zone, cell, Path(fence) if fence else None
+        )
         await serve_stand_in(server, address_of(listen), control, log)
 
     run(work)
@@ -250,52 +319,75 @@
 
 
 @app.command(hidden=True)
-def tool(cluster: ClusterFile, state: Annotated[str, typer.Option()], listen: Listen = "127.0.0.1:0",
-         control: Control = False):
+def tool(
+    cluster: ClusterFile,
+    state: Annotated[str, typer.Option()],
+    listen: Listen = "127.0.0.1:0",
+    control: Control = False,
+):
     """A stand-in for the operators' tool that replaces hosts: tells on standard output which, and is told of starts on
     standard input."""
     from linedeal import logs
     from linedeal.net import TcpNet
     from linedeal.settings.cluster import read_cluster
     from linedeal.standin.tool import ToolServer
+
     settings = read_cluster(cluster)
     Path(state).mkdir(parents=True, exist_ok=True)
 
     async def work():
-        server = ToolServer(TcpNet(), settings.council, Path(state),
-                            lambda host, boot: print(json.dumps({"replace": [host, boot]}), flush=True))
+        server = ToolServer(
+            TcpNet(),
+            settings.council,
+            Path(state),
+            lambda host, boot: print(json.dumps({"replace": [host, boot]}), flush=True),
+        )
         await serve_stand_in(server, address_of(listen), control, logs.setup(False, False))
 
     run(work)
 
 
 @app.command(hidden=True)
-def crowd(hosts: Annotated[str, typer.Option(help="JSON file of the hosts")], cluster: ClusterFile,
-          discovery: Annotated[str, typer.Option()], record: Annotated[str, typer.Option()], seed: int = 1,
-          control: Control = False):
+def crowd(
+    hosts: Annotated[str, typer.Option(help="JSON file of the hosts")],
+    cluster: ClusterFile,
+    discovery: Annotated[str, typer.Option()],
+    record: Annotated[str, typer.Option()],
+    seed: int = 1,
+    control: Control = False,
+):
     """Many stand-in hosts in one process, sampled ten times a second; for the rig of `linedeal rig`."""
     from linedeal import logs
     from linedeal.net import TcpNet
     from linedeal.settings.cluster import read_cluster
     from linedeal.standin.crowd import Crowd, read_hosts
+
     log = logs.setup(False, False)
 
     async def work():
         with open(record, "wb", buffering=1 << 16) as out:
-            server = Crowd(read_hosts(Path(hosts)), read_cluster(cluster), address_of(discovery), seed, TcpNet(), out)
+            server = Crowd(
+                read_hosts(Path(hosts)), read_cluster(cluster), address_of(discovery), seed, TcpNet(), out
+            )
             await serve_stand_in(server, ("127.0.0.1", 0), control, log)
 
     run(work)
 
 
 @app.command("load", hidden=True)
-def load_part(file: str, addresses: Annotated[str, typer.Option(help="JSON file: controllers and their addresses")],
-              part: Annotated[int, typer.Option()], parts: Annotated[int, typer.Option()],
-              record: Annotated[str, typer.Option()], control: Control = False):
+def load_part(
+    file: str,
+    addresses: Annotated[str, typer.Option(help="JSON file: controllers and their addresses")],
+    part: Annotated[int, typer.Option()],
+    parts: Annotated[int, typer.Option()],
+    record: Annotated[str, typer.Option()],
+    control: Control = False,
+):
     """A part of a day's owners, in a process of its own; for the rig of `linedeal rig`."""
     from linedeal import logs
     from linedeal.lab.loadpart import LoadPart
     from linedeal.net import TcpNet
+
     server = LoadPart(Path(file), Path(addresses), part, parts, Path(record), TcpNet())
     run(serve_stand_in, server, ("127.0.0.1", 0), control, logs.setup(False, False))
 
@@ -307,11 +399,13 @@
     from linedeal.lab.record import Recorder
     from linedeal.lab.tap import TapServer
     from linedeal.net import TcpNet
+
     log = logs.setup(False, False)
 
     async def work():
         server = TapServer(TcpNet(), Recorder(record))
         async with anyio.create_task_group() as tasks:
+
             async def route(name, to):
                 address = await tasks.start(server.route, name, address_of(to))
                 print(json.dumps({"route": [name, f"{address[0]}:{address[1]}"]}), flush=True)
@@ -337,31 +431,51 @@
 
 
 @app.command(epilog="Example: linedeal day examples/bad-day.day")
-def day(file: str, directory: Annotated[Optional[str], typer.Option(help="for records and logs, kept")] = None,
-        in_memory: Annotated[bool, typer.Option("--in-memory", help="one process, mock clock, faster than real time"
-                                                )] = False, as_json: Json = False):
+def day(
+    file: str,
+    directory: Annotated[Optional[str], typer.Option(help="for records and logs, kept")] = None,
+    in_memory: Annotated[
+        bool, typer.Option("--in-memory", help="one process, mock clock, faster than real time")
+    ] = False,
+    as_json: Json = False,
+):
     """Plays a day file and judges what passed on the sockets. Exit status 0 only if all five rules were kept."""
     from linedeal import audit
     from linedeal.audit.duties import judge_duties
     from linedeal.lab import play, report
     from linedeal.lab.day import read_day
+
     plan = read_day(file)
     say = (lambda line: None) if as_json else (lambda line: print(line, flush=True))
     if in_memory:
         tally, entries = play.play_in_memory(plan, say)
     else:
         import tempfile
+
         place = Path(directory) if directory else Path(tempfile.mkdtemp(prefix="linedeal-day-"))
         tally, entries = run(play.play_processes, plan, place, say)
     traffic = audit.gather(entries)
     breaches, of_duties = audit.judge(traffic, plan.cluster), judge_duties(traffic, plan.cluster)
     value = report.earned(traffic, plan, tally.asked)
     if as_json:
-        print(json.dumps({"value": value, "ends": tally.ends, "jobs": len(traffic.jobs),
-                          "breaches": shown(breaches, of_duties)}))
+        print(
+            json.dumps(
+                {
+                    "value": value,
+                    "ends": tally.ends,
+                    "jobs": len(traffic.jobs),
+                    "breaches": shown(breaches, of_duties),
+                }
+            )
+        )
     else:
-        print("", *report.lines(traffic, breaches, of_duties), "", f"value earned of value asked: {value:.3f} (simulated hosts)",
-              sep="\n")
+        print(
+            "",
+            *report.lines(traffic, breaches, of_duties),
+            "",
+            f"value earned of value asked: {value:.3f} (simulated hosts)",
+            sep="\n",
+        )
     if not in_memory:
         if not directory and not breaches and not of_duties:
             shutil.rmtree(place)
@@ -372,22 +486,32 @@
 
 def shown(breaches, of_duties) -> list[dict]:
     return [{"rule": b.rule, "t": b.t, "text": b.text} for b in breaches] + [
-        {"rule": f"duties, {b.claim}", "t": b.t, "text": b.text} for b in of_duties]
-
-
-@app.command(epilog="Example: linedeal rig --controllers 12 --hosts 24 --policies linedeal,two-choices --plot load.png")
-def rig(controllers: int = 12, hosts: int = 24, seconds: float = 30.0,
-        room: Annotated[float, typer.Option(help="share of the hosts' room that the jobs ask for")] = 0.7,
-        trouble: str = "calm", policies: str = "linedeal", seed: int = 1,
-        in_memory: Annotated[bool, typer.Option("--in-memory", help="one process, mock clock")] = False,
-        directory: Annotated[Optional[str], typer.Option(help="for records and logs, kept")] = None,
-        plot: Annotated[Optional[str], typer.Option(help="PNG with the load by host over time")] = None,
-        as_json: Json = False):
+        {"rule": f"duties, {b.claim}", "t": b.t, "text": b.text} for b in of_duties
+    ]
+
+
+@app.command(
+    epilog="Example: linedeal rig --controllers 12 --hosts 24 --policies linedeal,two-choices --plot load.png"
+)
+def rig(
+    controllers: int = 12,
+    hosts: int = 24,
+    seconds: float = 30.0,
+    room: Annotated[float, typer.Option(help="share of the hosts' room that the jobs ask for")] = 0.7,
+    trouble: str = "calm",
+    policies: str = "linedeal",
+    seed: int = 1,
+    in_memory: Annotated[bool, typer.Option("--in-memory", help="one process, mock clock")] = False,
+    directory: Annotated[Optional[str], typer.Option(help="for records and logs, kept")] = None,
+    plot: Annotated[Optional[str], typer.Option(help="PNG with the load by host over time")] = None,
+    as_json: Json = False,
+):
     """How evenly so many controllers load so many stand-in hosts: real processes over sockets, or in memory. Each policy
     plays the same day."""
     from linedeal.lab import evenrun
     from linedeal.lab.baselines import IN_MEMORY, POLICIES
     from linedeal.lab.evenday import TROUBLES
+
     names, known = policies.split(","), IN_MEMORY if in_memory else POLICIES
     if unknown := [name for name in names if name not in known]:
         raise Fault(f"no policy {unknown[0]!r}: {', '.join(known)}", 2)
@@ -396,20 +520,29 @@
     if controllers < 1 or hosts < 1 or seconds < 4 or not 0 < room <= 3:
         raise Fault("1 controller, 1 host, 4 seconds at least, room over 0 and up to 3", 2)
     import tempfile
+
     place = Path(directory) if directory else Path(tempfile.mkdtemp(prefix="linedeal-rig-"))
     say = (lambda line: None) if as_json else (lambda line: print(line, flush=True))
     found = {}
     for name in names:
         plan = evenrun.Plan(controllers, hosts, seconds, room, trouble, name, seed)
-        found[name] = evenrun.in_memory(plan, place / name) if in_memory else run(evenrun.processes, plan, place / name, say)
+        found[name] = (
+            evenrun.in_memory(plan, place / name)
+            if in_memory
+            else run(evenrun.processes, plan, place / name, say)
+        )
         if not as_json:
             print(*evenrun.lines(name, found[name], plan), sep="\n", flush=True)
     if as_json:
         print(json.dumps({name: evenrun.shown(one) for name, one in found.items()}))
     if plot:
         from linedeal.lab.heat import draw
-        draw(Path(plot), {name: (one.samples, one.arrivals) for name, one in found.items()},
-             [(seconds / 2, trouble)] if trouble != "calm" else [])
+
+        draw(
+            Path(plot),
+            {name: (one.samples, one.arrivals) for name, one in found.items()},
+            [(seconds / 2, trouble)] if trouble != "calm" else [],
+        )
     if not directory:
         shutil.rmtree(place)
 
@@ -422,6 +555,7 @@
     from linedeal.lab import report
     from linedeal.lab.record import read_record
     from linedeal.settings.cluster import read_cluster
+
     settings = read_cluster(cluster)
     traffic = audit.gather(read_record(record))
     breaches, of_duties = audit.judge(traffic, settings), judge_duties(traffic, settings)
@@ -433,9 +567,15 @@
 
 
 @app.command(epilog="Example: linedeal up --controllers 2 --hosts 6 --directory /tmp/trial")
-def up(directory: Annotated[str, typer.Option(help="for state, logs and the record of traffic")],
-       controllers: int = 2, hosts: int = 6,
-       cluster: Annotated[Optional[str], typer.Option(help="HCL file; the number of controllers in it is set here")] = None):
+def up(
+    directory: Annotated[str, typer.Option(help="for state, logs and the record of traffic")],
+    controllers: int = 2,
+    hosts: int = 6,
+    cluster: Annotated[
+        Optional[str], typer.Option(help="HCL file; the number of controllers in it is set here")
+    ] = None,
+):
     """A trial cluster in the foreground until Ctrl-C: N controllers, M stand-in hosts, discovery and the tap."""
     from linedeal.lab.trial import trial
+
     run(trial, Path(directory), controllers, hosts, cluster, lambda line: print(line, flush=True))
--- a/linedeal/cli_fleet.py
+++ b/linedeal/cli_fleet.py
@@ -10,16 +10,21 @@
 import typer
 
 Cluster = Annotated[str, typer.Option("--cluster", help="the cluster's HCL file")]
-Key = Annotated[Optional[str], typer.Option("--council-key", help="file that holds the council's key; or "
-                                                                    "LINEDEAL_COUNCIL_KEY holds it")]
+Key = Annotated[
+    Optional[str],
+    typer.Option("--council-key", help="file that holds the council's key; or LINEDEAL_COUNCIL_KEY holds it"),
+]
 Within = Annotated[float, typer.Option(help="seconds until it answers, at most", min=0.1, max=60.0)]
 Json = Annotated[bool, typer.Option("--json", help="for programs")]
 
 
 def add(app: typer.Typer, run, key_in, fault) -> None:
     """The commands; `fault(text, status)` is the command line's own exception."""
-    fleet = typer.Typer(no_args_is_help=True, help="Work on behalf of the fleet: its owners, and the council that "
-                                                   "keeps them. docs/council.md has how to run it.")
+    fleet = typer.Typer(
+        no_args_is_help=True,
+        help="Work on behalf of the fleet: its owners, and the council that "
+        "keeps them. docs/council.md has how to run it.",
+    )
     council = typer.Typer(no_args_is_help=True, help="The council's members.")
     fleet.add_typer(council, name="council")
     app.add_typer(fleet, name="fleet")
@@ -29,6 +34,7 @@
         from linedeal.fleet.asker import Asker, CouncilFault
         from linedeal.net import TcpNet
         from linedeal.settings.cluster import read_cluster
+
         settings = read_cluster(cluster)
         if not settings.council.members:
             raise fault(f"{cluster}: council: it names no members", 1)
@@ -44,6 +50,7 @@
 
     # only now: it takes its options from here
     from linedeal import cli_campaign
+
     cli_campaign.add(fleet, asked, fault)
 
     @council.command("status", epilog="Example: linedeal fleet council status --cluster examples/council.hcl")
@@ -73,18 +80,26 @@
         votes = sum(stands["votes"] for stands in known)
         raise typer.Exit(0 if len(known) == len(found) and votes == len(found) else 1)
 
-    @council.command("replace", epilog="Example: linedeal fleet council replace c2 c4 --cluster examples/council.hcl")
+    @council.command(
+        "replace", epilog="Example: linedeal fleet council replace c2 c4 --cluster examples/council.hcl"
+    )
     def replace(old: str, new: str, cluster: Cluster, key: Key = None, within: Within = 10.0):
         """Puts one member in the place of another; NEW may be OLD with a new directory. It must run already."""
         from linedeal.council.records import Outcome
         from linedeal.protocol import pb
-        told = asked(cluster, key, lambda asker, settings: asker.ask(
-            pb.CouncilAsk(kind=pb.REPLACE, key=old, id=new), within))
+
+        told = asked(
+            cluster,
+            key,
+            lambda asker, settings: asker.ask(pb.CouncilAsk(kind=pb.REPLACE, key=old, id=new), within),
+        )
         if told.outcome is not Outcome.DONE:
             raise fault(f"not replaced: {told.outcome.value}" + "".join(f"; {one}" for one in told.silent), 1)
         print(f"{new} takes the place of {old}; `linedeal fleet council status` shows when it votes")
 
-    @council.command("vouch", epilog="Example: linedeal fleet council vouch c1 --cluster examples/council.hcl")
+    @council.command(
+        "vouch", epilog="Example: linedeal fleet council vouch c1 --cluster examples/council.hcl"
+    )
     def vouch(member: str, cluster: Cluster, key: Key = None, within: Within = 2.0):
         """Says that a member's directory is the one it wrote last, and no copy, where another cannot be asked.
 
@@ -94,7 +109,9 @@
 
         async def work(asker, settings):
             if member not in settings.council.members:
-                raise fault(f"{cluster}: council: {member} is no member: {', '.join(settings.council.members)}", 2)
+                raise fault(
+                    f"{cluster}: council: {member} is no member: {', '.join(settings.council.members)}", 2
+                )
             return await asker.ask_member(member, pb.CouncilAsk(kind=pb.VOUCH), within)
 
         told = asked(cluster, key, work)
@@ -117,28 +134,54 @@
             return found
 
         found = asked(cluster, key, work)
-        shown = {name: None if duty is None else {"owner": duty.owner, "token": duty.token, "lease": duty.lease,
-                                                  "beat": duty.beat, "heir": duty.heir} for name, duty in found.items()}
+        shown = {
+            name: None
+            if duty is None
+            else {
+                "owner": duty.owner,
+                "token": duty.token,
+                "lease": duty.lease,
+                "beat": duty.beat,
+                "heir": duty.heir,
+            }
+            for name, duty in found.items()
+        }
         if as_json:
             print(json.dumps(shown))
         else:
             for name, duty in shown.items():
-                print(f"{name}: " + (f"no majority of the council answered within {within:g} s" if duty is None else
-                                     f"{duty['owner'] or 'nobody'}, token {duty['token']}, beat {duty['beat']}"))
+                print(
+                    f"{name}: "
+                    + (
+                        f"no majority of the council answered within {within:g} s"
+                        if duty is None
+                        else f"{duty['owner'] or 'nobody'}, token {duty['token']}, beat {duty['beat']}"
+                    )
+                )
         raise typer.Exit(0 if None not in shown.values() else 1)
 
     @fleet.command("hand", epilog="Example: linedeal fleet hand campaign --cluster examples/council.hcl")
-    def hand(duty: str, cluster: Cluster, to: Annotated[str, typer.Option(
-                help="NAME/LIFE of the controller that may have it first, as `duties` shows them")] = "",
-             key: Key = None, within: Within = 5.0):
+    def hand(
+        duty: str,
+        cluster: Cluster,
+        to: Annotated[
+            str,
+            typer.Option(help="NAME/LIFE of the controller that may have it first, as `duties` shows them"),
+        ] = "",
+        key: Key = None,
+        within: Within = 5.0,
+    ):
         """Takes a duty from its owner. What the owner still sends is refused once the next has begun."""
         from linedeal.duties.duty import Refusal
         from linedeal.fleet import operator
         from linedeal.fleet.office import DUTIES
+
         if f"duty/{duty}" not in DUTIES:
             raise fault(f"no duty {duty}: {', '.join(name.partition('/')[2] for name in DUTIES)}", 2)
         try:
-            was = asked(cluster, key, lambda asker, settings: operator.hand(asker, f"duty/{duty}", to, within))
+            was = asked(
+                cluster, key, lambda asker, settings: operator.hand(asker, f"duty/{duty}", to, within)
+            )
         except (Refusal, operator.Unlearned) as error:
             raise fault(str(error), 1) from None
         print(f"{duty} is taken from {was.owner}")
@@ -150,6 +193,7 @@
 
         from linedeal.council.records import Outcome
         from linedeal.duties import census as sums
+
         told = asked(cluster, key, lambda asker, settings: asker.read(sums.RESULT, within))
         if told.outcome is not Outcome.READ:
             raise fault(f"no census: {told.outcome.value}" + "".join(f"; {one}" for one in told.silent), 1)
@@ -159,8 +203,10 @@
         if as_json:
             print(json.dumps(asdict(found)))
             return
-        print(f"{found.controllers} controllers, reports up to {found.age:.1f} s old as it was made"
-              + (f"; missing: {', '.join(found.missing)}" if found.missing else ""))
+        print(
+            f"{found.controllers} controllers, reports up to {found.age:.1f} s old as it was made"
+            + (f"; missing: {', '.join(found.missing)}" if found.missing else "")
+        )
         for name, figure in sorted({**found.sums, **found.stands}.items()):
             print(f"  {name:28} {figure:12g}")
 
@@ -173,6 +219,11 @@
     if not stands["epoch"]:
         where = f"; the council is {', '.join(stands['elsewhere'])}" if stands["elsewhere"] else ""
         return f"belongs to no council yet{where}"
-    how = "votes" if stands["votes"] else f"does not vote yet, known by {', '.join(stands['known_by']) or 'nobody'}"
+    how = (
+        "votes"
+        if stands["votes"]
+        else f"does not vote yet, known by {', '.join(stands['known_by']) or 'nobody'}"
+    )
     return f"{how}; epoch {stands['epoch']}, members {', '.join(stands['members'])}" + (
-        f"; may come in: {', '.join(stands['candidates'])}" if stands["candidates"] else "")
+        f"; may come in: {', '.join(stands['candidates'])}" if stands["candidates"] else ""
+    )
--- a/linedeal/cli_jobs.py
+++ b/linedeal/cli_jobs.py
@@ -12,12 +12,16 @@
 import anyio
 import typer
 
-CONTACT = Annotated[str, typer.Option(help="HOST:PORT,.../SESSION[?customer=NAME]", envvar="LINEDEAL_CONTACT")]
+CONTACT = Annotated[
+    str, typer.Option(help="HOST:PORT,.../SESSION[?customer=NAME]", envvar="LINEDEAL_CONTACT")
+]
 JSON = Annotated[bool, typer.Option("--json", help="for programs")]
 KEYS = Annotated[list[str], typer.Argument(metavar="JOBS...", help="as `submit` and `status` name them")]
 SERVICE = Annotated[str, typer.Option(help="else the command's own name")]
-WAIT = Annotated[float, typer.Option(help="seconds in which it has to find a host; 0: as long as the offering allows")]
-LINE = 0.25     # seconds between two looks at a progress line
+WAIT = Annotated[
+    float, typer.Option(help="seconds in which it has to find a host; 0: as long as the offering allows")
+]
+LINE = 0.25  # seconds between two looks at a progress line
 
 
 def add(app: typer.Typer, run, fault) -> None:
@@ -29,6 +33,7 @@
         from linedeal.client.owner import NoSuchJob, OrderRefused, Owner, OwnerFault
         from linedeal.client.client import TurnedAway
         from linedeal.net import TcpNet
+
         try:
             place = parse_contact(contact) if contact else None
             token = token_of(place.customer) if place else ""
@@ -42,7 +47,9 @@
         except OwnerFault as error:
             raise fault(str(error), 3) from None
         except NoSuchJob as error:
-            raise fault(f"no job {error.args[0]!r} in session {place.session or 'without a name'}", 1) from None
+            raise fault(
+                f"no job {error.args[0]!r} in session {place.session or 'without a name'}", 1
+            ) from None
         except OrderRefused as error:
             raise fault(f"not done: {error}", 1) from None
         except TurnedAway as error:
@@ -53,17 +60,34 @@
     def work_of(offering, command, service, customer, cores, memory, wait, name):
         from linedeal.client import JobAsk
         from linedeal.protocol import pb
+
         service = service or (Path(command[0]).name if command else "by-hand")
-        work = pb.Work(name=name, command=command[0], arguments=command[1:], directory=os.getcwd()) if command else (
-            pb.Work(name=name) if name else None)
+        work = (
+            pb.Work(name=name, command=command[0], arguments=command[1:], directory=os.getcwd())
+            if command
+            else (pb.Work(name=name) if name else None)
+        )
         return JobAsk(offering, customer, service, cores, memory, wait), work
 
-    @app.command("run", epilog="Example: linedeal run course-reader --contact 127.0.0.1:7100 --cores 2 -- print week-7.pdf")
-    def run_job(offering: str, command: Annotated[Optional[list[str]], typer.Argument(help="what the host runs")] = None,
-                contact: CONTACT = "", service: SERVICE = "", customer: str = "", cores: float = 1.0,
-                memory: float = 1.0, wait: WAIT = 0.0, name: str = "", as_json: JSON = False):
+    @app.command(
+        "run",
+        epilog="Example: linedeal run course-reader --contact 127.0.0.1:7100 --cores 2 -- print week-7.pdf",
+    )
+    def run_job(
+        offering: str,
+        command: Annotated[Optional[list[str]], typer.Argument(help="what the host runs")] = None,
+        contact: CONTACT = "",
+        service: SERVICE = "",
+        customer: str = "",
+        cores: float = 1.0,
+        memory: float = 1.0,
+        wait: WAIT = 0.0,
+        name: str = "",
+        as_json: JSON = False,
+    ):
         """Submits a job, follows it, and exits with its status; 1 where it has none. Ctrl-C ends the job."""
         from linedeal.client.owner import END, NoSuchJob, OrderRefused
+
         ask, work = work_of(offering, command or [], service, customer, cores, memory, wait, name)
         found = []
 
@@ -79,28 +103,47 @@
 
         async def end_on_signal(owner, key):
             import signal
+
             with anyio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
                 async for _ in signals:
                     try:
                         await owner.order(key, END)
                     except (OrderRefused, NoSuchJob):
-                        pass        # it has just ended by itself
+                        pass  # it has just ended by itself
 
         run(go)
         tell(found, as_json)
         ran = found[0].ran
         raise typer.Exit(ran.status if ran and ran.status is not None else 1)
 
-    @app.command("submit", epilog="Example: linedeal submit press-feed --contact 127.0.0.1:7100/shop --cores 2 -- feed 7")
-    def submit(offering: str, command: Annotated[Optional[list[str]], typer.Argument(help="what the host runs")] = None,
-               contact: CONTACT = "", service: SERVICE = "", customer: str = "", cores: float = 1.0,
-               memory: float = 1.0, wait: WAIT = 0.0, name: str = "", hold: bool = False,
-               start_in: Annotated[float, typer.Option(help="seconds")] = 0.0,
-               key: Annotated[str, typer.Option(help="of the job; asked for again, it is joined")] = "",
-               bulk: Annotated[str, typer.Option(help="BEGIN-END[:STEP]; $drmaa_incr_ph$ in arguments is the index")] = "",
-               answer: Annotated[bool, typer.Option(help="waits for the answer; exit status 0 only if placed")] = False,
-               to: Annotated[str, typer.Option(help="HOST:PORT of one controller: no session, waits for the answer")] = "",
-               as_json: JSON = False):
+    @app.command(
+        "submit",
+        epilog="Example: linedeal submit press-feed --contact 127.0.0.1:7100/shop --cores 2 -- feed 7",
+    )
+    def submit(
+        offering: str,
+        command: Annotated[Optional[list[str]], typer.Argument(help="what the host runs")] = None,
+        contact: CONTACT = "",
+        service: SERVICE = "",
+        customer: str = "",
+        cores: float = 1.0,
+        memory: float = 1.0,
+        wait: WAIT = 0.0,
+        name: str = "",
+        hold: bool = False,
+        start_in: Annotated[float, typer.Option(help="seconds")] = 0.0,
+        key: Annotated[str, typer.Option(help="of the job; asked for again, it is joined")] = "",
+        bulk: Annotated[
+            str, typer.Option(help="BEGIN-END[:STEP]; $drmaa_incr_ph$ in arguments is the index")
+        ] = "",
+        answer: Annotated[
+            bool, typer.Option(help="waits for the answer; exit status 0 only if placed")
+        ] = False,
+        to: Annotated[
+            str, typer.Option(help="HOST:PORT of one controller: no session, waits for the answer")
+        ] = "",
+        as_json: JSON = False,
+    ):
         """Submits a job, or a bulk, and prints its name as soon as it is taken."""
         ask, work = work_of(offering, command or [], service, customer, cores, memory, wait, name)
         if to:
@@ -132,6 +175,7 @@
     def without_session(to, ask, as_json):
         from linedeal.client import Client, ClientLost, TurnedAway
         from linedeal.net import TcpNet, parse_address
+
         try:
             address = parse_address(to)
         except ValueError as error:
@@ -155,6 +199,7 @@
     def bulk_of(work, bulk):
         from linedeal.drmaa import errors, translate
         from linedeal.protocol import pb
+
         try:
             ends, _, step = bulk.partition(":")
             begin, _, end = ends.partition("-")
@@ -164,8 +209,11 @@
         return [translate.at_index(work or pb.Work(), index) for index in numbers]
 
     @app.command(epilog="Example: linedeal status --contact 127.0.0.1:7100/shop")
-    def status(keys: Annotated[Optional[list[str]], typer.Argument()] = None, contact: CONTACT = "",
-               as_json: JSON = False):
+    def status(
+        keys: Annotated[Optional[list[str]], typer.Argument()] = None,
+        contact: CONTACT = "",
+        as_json: JSON = False,
+    ):
         """How jobs stand: those named, or all of the session that are not over."""
         show_some(contact, keys, as_json, lambda standing: not standing.over)
 
@@ -180,8 +228,11 @@
         async def go():
             async with opened(contact) as owner:
                 await heard_all(owner)
-                found.extend([await owner.find(key) for key in keys] if keys else
-                             [owner.standing(key) for key in owner.keys() if test(owner.standing(key))])
+                found.extend(
+                    [await owner.find(key) for key in keys]
+                    if keys
+                    else [owner.standing(key) for key in owner.keys() if test(owner.standing(key))]
+                )
                 found.sort(key=lambda standing: standing.taken_at or 0.0)
 
         run(go)
@@ -190,6 +241,7 @@
     async def heard_all(owner):
         """Controllers that do not answer are named, what the others say is shown all the same."""
         from linedeal.client.owner import NOT_YET
+
         with anyio.move_on_after(3.0):
             while any(home.why == NOT_YET for home in owner.homes):
                 await owner.change()
@@ -198,9 +250,13 @@
                 print(f"linedeal: {home} is not heard: {home.why}", file=sys.stderr)
 
     @app.command(epilog="Example: linedeal wait --contact 127.0.0.1:7100/shop --any 3f2a-1 3f2a-2")
-    def wait(keys: KEYS, contact: CONTACT = "",
-             any_: Annotated[bool, typer.Option("--any", help="until one is over")] = False,
-             timeout: Annotated[float, typer.Option(help="seconds; 0: for ever")] = 0.0, as_json: JSON = False):
+    def wait(
+        keys: KEYS,
+        contact: CONTACT = "",
+        any_: Annotated[bool, typer.Option("--any", help="until one is over")] = False,
+        timeout: Annotated[float, typer.Option(help="seconds; 0: for ever")] = 0.0,
+        as_json: JSON = False,
+    ):
         """Until jobs are over. Exit status 0 only if all that ended ran to their end with status 0."""
         found = []
 
@@ -208,7 +264,7 @@
             async with opened(contact) as owner:
                 for key in keys:
                     await owner.find(key)
-                with anyio.fail_after(timeout or None):     # outside the tasks, which would wrap its error
+                with anyio.fail_after(timeout or None):  # outside the tasks, which would wrap its error
                     async with anyio.create_task_group() as tasks:
                         tasks.start_soon(show, owner, keys, as_json)
                         found.extend(await owner.until(keys, lambda standing: standing.over, not any_))
@@ -221,6 +277,7 @@
 
     def order(name: str, said: str):
         from linedeal.protocol import pb
+
         kind = {"hold": pb.HOLD, "release": pb.RELEASE, "kill": pb.END}[name]
 
         def command(keys: KEYS, contact: CONTACT = ""):
@@ -230,7 +287,9 @@
                         await owner.find(key)
                         await owner.order(key, kind)
                         print(f"{key}  {line(owner.standing(key))}")
+
             run(go)
+
         command.__doc__ = said
         app.command(name, epilog=f"Example: linedeal {name} --contact 127.0.0.1:7100/shop 3f2a-1")(command)
 
@@ -242,15 +301,21 @@
     def key():
         """A new key for a customer, and the hash that stands for it in the cluster file."""
         from linedeal.settings.keys import hash_of
+
         token = secrets.token_urlsafe(32)
-        print(f"key for the customer (LINEDEAL_TOKEN, or a file named by LINEDEAL_TOKEN_FILE):\n  {token}\n"
-              f"line for the cluster file, in the customer's block:\n  key = \"{hash_of(token)}\"")
+        print(
+            f"key for the customer (LINEDEAL_TOKEN, or a file named by LINEDEAL_TOKEN_FILE):\n  {token}\n"
+            f'line for the cluster file, in the customer\'s block:\n  key = "{hash_of(token)}"'
+        )
 
     @app.command("drmaa-library", epilog="Example: export DRMAA_LIBRARY_PATH=$(linedeal drmaa-library)")
-    def drmaa_library(directory: Annotated[Optional[Path], typer.Option(help="else in the user's cache")] = None,
-                      header: Annotated[bool, typer.Option("--header", help="the directory of drmaa.h instead")] = False):
+    def drmaa_library(
+        directory: Annotated[Optional[Path], typer.Option(help="else in the user's cache")] = None,
+        header: Annotated[bool, typer.Option("--header", help="the directory of drmaa.h instead")] = False,
+    ):
         """Prints the path of the shared library with the DRMAA 1.0 C interface; builds it at first."""
         from linedeal.drmaa import build
+
         if header:
             print(build.SOURCE)
             return
@@ -263,6 +328,7 @@
     def drmaa_agent(contact: str = ""):
         """The process behind the C library."""
         from linedeal.drmaa import agent
+
         # uvloop tells of each cancelled wait on a Unix socket as of a fault
         run(agent.serve, contact, fast=False)
 
@@ -285,12 +351,19 @@
 def tell(standings, as_json: bool) -> None:
     if as_json:
         import msgspec
+
         print(msgspec.json.encode(standings).decode())
         return
     width = max((len(standing.key) for standing in standings), default=0)
     for standing in standings:
-        when = datetime.fromtimestamp(standing.taken_at).strftime("%H:%M:%S") if standing.taken_at else "        "
-        print(f"{standing.key:{width}}  {when}  {standing.offering:14}  {standing.service:14}  {line(standing)}")
+        when = (
+            datetime.fromtimestamp(standing.taken_at).strftime("%H:%M:%S")
+            if standing.taken_at
+            else "        "
+        )
+        print(
+            f"{standing.key:{width}}  {when}  {standing.offering:14}  {standing.service:14}  {line(standing)}"
+        )
 
 
 async def show(owner, keys, quiet: bool) -> None:
@@ -304,8 +377,11 @@
             for key in keys:
                 stage = owner.standing(key).stage
                 counts[stage] = counts.get(stage, 0) + 1
-            said = (line(owner.standing(keys[0])) if len(keys) == 1 else
-                    ", ".join(f"{count} {stage}" for stage, count in counts.items()))
+            said = (
+                line(owner.standing(keys[0]))
+                if len(keys) == 1
+                else ", ".join(f"{count} {stage}" for stage, count in counts.items())
+            )
             last = f"\r{anyio.current_time() - begun:6.1f} s  {said}"
             sys.stderr.write(f"{last}\x1b[K")
             sys.stderr.flush()
--- a/linedeal/client/client.py
+++ b/linedeal/client/client.py
@@ -1,7 +1,7 @@
 """One link to one controller, with many jobs on it.
 
-    async with Client.connect(net, address, "school-7") as client:
-        answer = await client.submit(JobAsk("course-reader", "school", "readers", 2.0, 4.0))
+async with Client.connect(net, address, "school-7") as client:
+    answer = await client.submit(JobAsk("course-reader", "school", "readers", 2.0, 4.0))
 """
 
 from contextlib import asynccontextmanager
@@ -42,7 +42,7 @@
 
     def __init__(self, reason: str, retry_after: float):
         super().__init__(reason)
-        self.retry_after = retry_after      # seconds; 0 where trying again will not help
+        self.retry_after = retry_after  # seconds; 0 where trying again will not help
 
 
 class ClientLost(Exception):
@@ -71,15 +71,21 @@
 
     @classmethod
     @asynccontextmanager
-    async def connect(cls, net: Net, address: Address, name: str,
-                      within: float = 5.0) -> AsyncIterator["Client"]:
+    async def connect(
+        cls, net: Net, address: Address, name: str, within: float = 5.0
+    ) -> AsyncIterator["Client"]:
         """A client for the block; leaving it takes back all that still waits. Raises ClientLost.
 
         Jobs that outlive link and controller are asked for by a `client.Owner`.
         """
         try:
-            link, welcome = await open_link(net, address, FrameReader(), encode(pb.Hello(version=VERSION, role=pb.CLIENT, name=name)),
-                                            within)
+            link, welcome = await open_link(
+                net,
+                address,
+                FrameReader(),
+                encode(pb.Hello(version=VERSION, role=pb.CLIENT, name=name)),
+                within,
+            )
         except LinkLost as error:
             raise ClientLost(str(error), False) from None
         if isinstance(welcome, pb.Bye):
@@ -92,7 +98,7 @@
                 try:
                     yield client
                 except Exception as error:
-                    fault = error       # a task group would wrap it
+                    fault = error  # a task group would wrap it
                 tasks.cancel_scope.cancel()
         finally:
             await link.close()
@@ -124,13 +130,18 @@
         if self.lost:
             raise ClientLost(self.lost, False)
         waiting = self.waiting[key] = Waiting(anyio.Event())
-        spec = pb.JobSpec(offering=ask.offering, customer=ask.customer, service=ask.service, cores=ask.cores,
-                          memory=ask.memory)
+        spec = pb.JobSpec(
+            offering=ask.offering,
+            customer=ask.customer,
+            service=ask.service,
+            cores=ask.cores,
+            memory=ask.memory,
+        )
         try:
             await self.send(pb.Submit(key=key, job=spec, wait=ask.wait))
             await waiting.event.wait()
         except LinkLost as error:
-            raise ClientLost(str(error), True) from None    # the job may have got there
+            raise ClientLost(str(error), True) from None  # the job may have got there
         except anyio.get_cancelled_exc_class():
             with anyio.CancelScope(shield=True), anyio.move_on_after(1.0):
                 await self.take_back(key)
@@ -148,7 +159,7 @@
         try:
             await self.send(pb.TakeBack(key=key))
         except LinkLost:
-            pass        # leaving takes it back as well
+            pass  # leaving takes it back as well
 
     async def send(self, message) -> None:
         async with self.writing:
--- a/linedeal/client/contact.py
+++ b/linedeal/client/contact.py
@@ -52,7 +52,9 @@
     if not places:
         raise ContactFault(f"{text!r}: names no controller")
     if len(session) > SESSION_MOST or not all(c.isalnum() or c in "-_." for c in session):
-        raise ContactFault(f"{text!r}: a session is letters, digits, '-', '_' and '.', {SESSION_MOST} at most")
+        raise ContactFault(
+            f"{text!r}: a session is letters, digits, '-', '_' and '.', {SESSION_MOST} at most"
+        )
     try:
         return Contact(tuple(parse_address(place) for place in places.split(",")), session, customer)
     except ValueError as error:
--- a/linedeal/client/course.py
+++ b/linedeal/client/course.py
@@ -32,9 +32,9 @@
     """What a decision looks at."""
 
     state: State
-    sent: bool                  # the question may have reached its home
-    redoable: bool              # its effect may happen twice
-    told_safe: bool = False     # its owner says that it may be asked for elsewhere
+    sent: bool  # the question may have reached its home
+    redoable: bool  # its effect may happen twice
+    told_safe: bool = False  # its owner says that it may be asked for elsewhere
 
 
 def home_away(view: View, away_for: float, patience: float, another: bool) -> Next:
@@ -42,10 +42,10 @@
     if view.state not in (State.ASKED, State.TAKEN) or not another:
         return Next.WAIT
     if view.state is State.ASKED and not view.sent:
-        return Next.MOVE        # nobody has seen it
+        return Next.MOVE  # nobody has seen it
     if view.told_safe or view.redoable and away_for >= patience:
         return Next.MOVE
-    return Next.WAIT            # it may run, or have run: its home alone can tell
+    return Next.WAIT  # it may run, or have run: its home alone can tell
 
 
 def home_back(view: View, listed: bool) -> Next:
@@ -53,7 +53,7 @@
     if listed or view.state in (State.OVER, State.REFUSED, State.UNKNOWN):
         return Next.WAIT
     if view.state is State.ASKED:
-        return Next.ASK         # it never took it: the same key, so that a doubled question joins
+        return Next.ASK  # it never took it: the same key, so that a doubled question joins
     # it was taken there and is not there any more: forgotten past its time, or the home lost its store. Asking again
     # would be a second effect for all that is known here.
     return Next.ASK if view.redoable and view.state is State.TAKEN else Next.UNKNOWN
--- a/linedeal/client/owner.py
+++ b/linedeal/client/owner.py
@@ -25,12 +25,12 @@
 from linedeal.net import Address, Link, LinkLost, Net, open_link
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 
-OTHERS = 1.0            # seconds, once one controller is heard, for those not reached yet
-AGAIN = 0.2             # seconds between two tries to reach a controller
-CONNECT = 5.0           # seconds for a link to stand
-PATIENCE = 2.0          # seconds after which a redoable job is asked for elsewhere
-UNSEEN_MOST = 500       # jobs asked for and not known to be taken, at a time
-ASK_WITHIN = 30.0       # seconds for which a job that is turned away "for now" is asked for again
+OTHERS = 1.0  # seconds, once one controller is heard, for those not reached yet
+AGAIN = 0.2  # seconds between two tries to reach a controller
+CONNECT = 5.0  # seconds for a link to stand
+PATIENCE = 2.0  # seconds after which a redoable job is asked for elsewhere
+UNSEEN_MOST = 500  # jobs asked for and not known to be taken, at a time
+ASK_WITHIN = 30.0  # seconds for which a job that is turned away "for now" is asked for again
 
 NOT_YET = "not reached yet"
 HOLD, RELEASE, END = pb.HOLD, pb.RELEASE, pb.END
@@ -111,7 +111,7 @@
     turned: TurnedAway | None = None
     turns: int = 0
     begin_by: float = 0.0
-    left: list["Home"] = field(default_factory=list)        # asked before; what they still hold is ended
+    left: list["Home"] = field(default_factory=list)  # asked before; what they still hold is ended
 
     def view(self) -> course.View:
         return course.View(self.state, self.sent, self.redoable, self.told_safe)
@@ -123,13 +123,13 @@
 
     address: Address
     link: Link | None = None
-    heard: bool = False             # it has told all that it holds, once
+    heard: bool = False  # it has told all that it holds, once
     lost_at: float = 0.0
     why: str = NOT_YET
     refuses: bool = False
     writing: anyio.Lock = field(default_factory=anyio.Lock)
     orders: dict[str, deque] = field(default_factory=dict)
-    strays: dict[str, None] = field(default_factory=dict)       # jobs there that were moved meanwhile
+    strays: dict[str, None] = field(default_factory=dict)  # jobs there that were moved meanwhile
 
     def __str__(self) -> str:
         return f"{self.address[0]}:{self.address[1]}"
@@ -146,27 +146,42 @@
 
 
 class Owner:
-    def __init__(self, net: Net, contact: Contact, token: str = "", patience: float = PATIENCE,
-                 first: int | None = None):
+    def __init__(
+        self,
+        net: Net,
+        contact: Contact,
+        token: str = "",
+        patience: float = PATIENCE,
+        first: int | None = None,
+    ):
         self.net, self.contact, self.token, self.patience = net, contact.named(), token, patience
         # sessions begin at different controllers, so that no single one gets them all
-        turn = zlib.crc32(self.contact.session.encode()) % len(contact.controllers) if first is None else first
+        turn = (
+            zlib.crc32(self.contact.session.encode()) % len(contact.controllers) if first is None else first
+        )
         places = contact.controllers[turn:] + contact.controllers[:turn]
         self.homes = [Home(address) for address in places]
         self.courses: dict[str, Course] = {}
-        self.effects: dict[str, bool] = {}      # offering: whether it is redoable
+        self.effects: dict[str, bool] = {}  # offering: whether it is redoable
         self.changed = anyio.Event()
         self.prefix, self.numbers = secrets.token_hex(3), 0
-        self.moved: dict[str, list[Home]] = {}          # forgotten jobs, and where something of them may still be
-        self.news: deque[str] = deque(maxlen=4096)      # keys of jobs that changed, the newest last
+        self.moved: dict[str, list[Home]] = {}  # forgotten jobs, and where something of them may still be
+        self.news: deque[str] = deque(maxlen=4096)  # keys of jobs that changed, the newest last
         self.news_count = 0
         self.unseen = anyio.Semaphore(UNSEEN_MOST)
-        self.later: list[tuple[float, Course]] = []     # turned away for now, with the time to ask again
+        self.later: list[tuple[float, Course]] = []  # turned away for now, with the time to ask again
 
     @classmethod
     @asynccontextmanager
-    async def open(cls, net: Net, contact: Contact, token: str = "", within: float = 5.0,
-                   patience: float = PATIENCE, first: int | None = None) -> AsyncIterator["Owner"]:
+    async def open(
+        cls,
+        net: Net,
+        contact: Contact,
+        token: str = "",
+        within: float = 5.0,
+        patience: float = PATIENCE,
+        first: int | None = None,
+    ) -> AsyncIterator["Owner"]:
         """The session for the block; its jobs go on when it is left. `first`: which of the contact's controllers new
         jobs go to while it is there; else the session's name says. Raises OwnerFault if no controller answers."""
         owner = cls(net, contact, token, patience, first)
@@ -175,7 +190,9 @@
                 tasks.start_soon(owner.keep, home)
             tasks.start_soon(owner.mind)
             with anyio.move_on_after(within):
-                while not any(home.heard for home in owner.homes) and not all(home.refuses for home in owner.homes):
+                while not any(home.heard for home in owner.homes) and not all(
+                    home.refuses for home in owner.homes
+                ):
                     await owner.change()
             fault = None
             if any(home.heard for home in owner.homes):
@@ -186,34 +203,61 @@
                 try:
                     yield owner
                 except Exception as error:
-                    fault = error       # a task group would wrap it
+                    fault = error  # a task group would wrap it
             else:
-                fault = OwnerFault("; ".join(f"{home}: {home.why}" for home in owner.homes),
-                                   any(home.refuses for home in owner.homes))
+                fault = OwnerFault(
+                    "; ".join(f"{home}: {home.why}" for home in owner.homes),
+                    any(home.refuses for home in owner.homes),
+                )
             tasks.cancel_scope.cancel()
         if fault is not None:
             raise fault
 
     # -- asking
 
-    async def submit(self, ask: JobAsk, key: str = "", work: pb.Work | None = None, hold: bool = False,
-                     start_in: float = 0.0, within: float = ASK_WITHIN) -> str:
+    async def submit(
+        self,
+        ask: JobAsk,
+        key: str = "",
+        work: pb.Work | None = None,
+        hold: bool = False,
+        start_in: float = 0.0,
+        within: float = ASK_WITHIN,
+    ) -> str:
         """Asks for a job and waits until it is taken; its key. The same key and content joins what was asked before.
 
         Raises TurnedAway where it is not taken, TimeoutError after `within` seconds: then it may be.
         """
         key = key or self.new_key()
-        spec = pb.JobSpec(offering=ask.offering, customer=ask.customer, service=ask.service, cores=ask.cores,
-                          memory=ask.memory, work=work.SerializeToString(deterministic=True) if work else b"")
+        spec = pb.JobSpec(
+            offering=ask.offering,
+            customer=ask.customer,
+            service=ask.service,
+            cores=ask.cores,
+            memory=ask.memory,
+            work=work.SerializeToString(deterministic=True) if work else b"",
+        )
         message = pb.Submit(key=key, job=spec, wait=ask.wait, follow=True, hold=hold, start_in=start_in)
         async with self.unseen:
             home = next((home for home in self.homes if home.link), self.homes[0])
             known = self.courses.get(key)
             if known is None or known.state in (State.REFUSED, State.UNKNOWN):
                 known = self.courses[key] = Course(
-                    key, home, message, Standing(key, "asked", ask.offering, ask.customer, ask.service, ask.cores,
-                                                 ask.memory, work.name if work else ""),
-                    redoable=self.effects.get(ask.offering, False))
+                    key,
+                    home,
+                    message,
+                    Standing(
+                        key,
+                        "asked",
+                        ask.offering,
+                        ask.customer,
+                        ask.service,
+                        ask.cores,
+                        ask.memory,
+                        work.name if work else "",
+                    ),
+                    redoable=self.effects.get(ask.offering, False),
+                )
             else:
                 known.submit, known.taken, known.turned = message, anyio.Event(), None
             known.begin_by = anyio.current_time() + within
@@ -229,8 +273,13 @@
         self.numbers += 1
         return f"{self.prefix}-{self.numbers}"
 
-    async def submit_many(self, asks: Iterable[tuple[JobAsk, str, pb.Work | None]], hold: bool = False,
-                          start_in: float = 0.0, within: float = ASK_WITHIN) -> list[str]:
+    async def submit_many(
+        self,
+        asks: Iterable[tuple[JobAsk, str, pb.Work | None]],
+        hold: bool = False,
+        start_in: float = 0.0,
+        within: float = ASK_WITHIN,
+    ) -> list[str]:
         """All of them taken, or TurnedAway for the first that was not: then those taken are ended again. Raises
         TimeoutError as `submit`: then some may be taken."""
         asks = list(asks)
@@ -244,7 +293,7 @@
 
         for at in range(0, len(asks), UNSEEN_MOST):
             async with anyio.create_task_group() as tasks:
-                for ask, key, work in asks[at:at + UNSEEN_MOST]:
+                for ask, key, work in asks[at : at + UNSEEN_MOST]:
                     tasks.start_soon(one, ask, key, work)
             if faults:
                 break
@@ -257,7 +306,7 @@
                     try:
                         await self.order(key, END)
                     except OrderRefused:
-                        pass        # it is over already
+                        pass  # it is over already
             raise faults[0]
         return [key for _, key, _ in asks]
 
@@ -354,12 +403,12 @@
     async def send(self, home: Home, message) -> None:
         link = home.link
         if link is None:
-            return      # told again when it is back
+            return  # told again when it is back
         try:
             async with home.writing:
                 await link.send(encode(message))
         except LinkLost:
-            pass        # the reading side sees it too, and acts on it
+            pass  # the reading side sees it too, and acts on it
 
     async def keep(self, home: Home) -> None:
         """The link to one controller, made again whenever it breaks."""
@@ -385,9 +434,22 @@
             await anyio.sleep(AGAIN if not home.refuses else 10 * AGAIN)
 
     async def connect(self, home: Home) -> Link:
-        link, welcome = await open_link(self.net, home.address, FrameReader(), encode(pb.Hello(
-            version=VERSION, role=pb.CLIENT, name=self.contact.session, session=self.contact.session,
-            customer=self.contact.customer, token=self.token)), CONNECT)
+        link, welcome = await open_link(
+            self.net,
+            home.address,
+            FrameReader(),
+            encode(
+                pb.Hello(
+                    version=VERSION,
+                    role=pb.CLIENT,
+                    name=self.contact.session,
+                    session=self.contact.session,
+                    customer=self.contact.customer,
+                    token=self.token,
+                )
+            ),
+            CONNECT,
+        )
         if not isinstance(welcome, pb.Welcome):
             await link.close()
             home.refuses = isinstance(welcome, pb.Bye) and not welcome.retry_after
@@ -417,7 +479,9 @@
             if job.home is home:
                 match course.home_back(job.view(), job.key in listed):
                     case Next.UNKNOWN:
-                        self.settle(job, State.UNKNOWN, "unknown", "its controller knows nothing of it any more")
+                        self.settle(
+                            job, State.UNKNOWN, "unknown", "its controller knows nothing of it any more"
+                        )
                     case Next.ASK:
                         job.state, job.sent = State.ASKED, False
         self.wake()
@@ -445,7 +509,7 @@
                 if job is not None:
                     if job.home is home and job.state is State.ASKED:
                         job.state = State.TAKEN
-                    job.taken.set()     # by this question, or joined
+                    job.taken.set()  # by this question, or joined
             case pb.TurnedAway():
                 await self.turned_away(home, message)
             case pb.Ordered():
@@ -458,25 +522,33 @@
         if home in (self.moved.get(message.key, ()) if job is None else job.left):
             # the job was moved; what its first home still holds of it is ended, whatever came of it
             if home.link is None:
-                home.strays[message.key] = None     # told on the way to standing: ended once the link does
+                home.strays[message.key] = None  # told on the way to standing: ended once the link does
             else:
                 await self.end_stray(home, message.key)
             return
         if job is None:
-            job = self.courses[message.key] = Course(message.key, home, None, Standing(message.key, "asked"),
-                                                     sent=True, redoable=self.effects.get(message.job.offering, False))
+            job = self.courses[message.key] = Course(
+                message.key,
+                home,
+                None,
+                Standing(message.key, "asked"),
+                sent=True,
+                redoable=self.effects.get(message.job.offering, False),
+            )
         elif job.home is not home:
             return
         if job.state in (State.OVER, State.UNKNOWN):
             return
         job.standing = standing_of(message, time.time())
-        job.state = State.OVER if job.standing.over else State.ANSWERED if job.standing.answered else State.TAKEN
+        job.state = (
+            State.OVER if job.standing.over else State.ANSWERED if job.standing.answered else State.TAKEN
+        )
         job.taken.set()
         self.wake(job.key)
 
     async def end_stray(self, home: Home, key: str) -> None:
         await self.send(home, pb.Order(key=key, kind=pb.END))
-        await self.send(home, pb.Forget(key=key))       # passed over there until it has ended
+        await self.send(home, pb.Forget(key=key))  # passed over there until it has ended
 
     async def turned_away(self, home: Home, message: pb.TurnedAway) -> None:
         job = self.courses.get(message.key)
@@ -491,11 +563,15 @@
             return
         job.turns += 1
         others = [other for other in self.homes if other.link and other is not home]
-        if others:      # not taken, so that it is safe to ask anywhere
+        if others:  # not taken, so that it is safe to ask anywhere
             job.home = others[job.turns % len(others)]
         job.sent = False
-        self.later.append((anyio.current_time() + (0.0 if others and job.turns <= len(others)
-                                                   else message.retry_after), job))
+        self.later.append(
+            (
+                anyio.current_time() + (0.0 if others and job.turns <= len(others) else message.retry_after),
+                job,
+            )
+        )
 
     def ordered(self, home: Home, message: pb.Ordered) -> None:
         orders = home.orders.get(message.key)
@@ -508,9 +584,26 @@
 
     def settle(self, job: Course, state: State, stage: str, why: str) -> None:
         known = job.standing
-        job.state, job.standing = state, Standing(
-            job.key, stage, known.offering, known.customer, known.service, known.cores, known.memory, known.name,
-            known.job, known.host, why, known.ran, known.taken_at, known.placed_at, time.time())
+        job.state, job.standing = (
+            state,
+            Standing(
+                job.key,
+                stage,
+                known.offering,
+                known.customer,
+                known.service,
+                known.cores,
+                known.memory,
+                known.name,
+                known.job,
+                known.host,
+                why,
+                known.ran,
+                known.taken_at,
+                known.placed_at,
+                time.time(),
+            ),
+        )
         job.taken.set()
         self.wake(job.key)
 
@@ -519,7 +612,10 @@
         while True:
             await anyio.sleep(AGAIN / 2)
             now = anyio.current_time()
-            due, self.later = [job for at, job in self.later if at <= now], [x for x in self.later if x[0] > now]
+            due, self.later = (
+                [job for at, job in self.later if at <= now],
+                [x for x in self.later if x[0] > now],
+            )
             for job in due:
                 if job.state is State.ASKED:
                     await self.ask(job)
@@ -531,8 +627,11 @@
         if len(here) == len(self.homes) or not here:
             return
         for job in list(self.courses.values()):
-            if job.home.link is None and job.submit is not None and course.home_away(
-                    job.view(), now - job.home.lost_at, self.patience, True) is Next.MOVE:
+            if (
+                job.home.link is None
+                and job.submit is not None
+                and course.home_away(job.view(), now - job.home.lost_at, self.patience, True) is Next.MOVE
+            ):
                 job.left.append(job.home)
                 job.home, job.state, job.sent = here[0], State.ASKED, False
                 await self.ask(job)
@@ -550,10 +649,30 @@
 def standing_of(message: pb.Standing, now: float) -> Standing:
     def at(ago):
         return None if ago < 0 else now - ago
+
     ran, job = None, message.job
     if message.HasField("ran"):
-        ran = Ran(message.ran.status if message.ran.HasField("status") else None, message.ran.seconds,
-                  message.ran.core_seconds, message.ran.memory)
-    return Standing(message.key, STAGES.get(message.stage, "unknown"), job.offering, job.customer, job.service, job.cores,
-                    job.memory, message.name, job.id, message.host, message.reason, ran, at(message.taken_ago),
-                    at(message.placed_ago), at(message.ended_ago), message.ending)
+        ran = Ran(
+            message.ran.status if message.ran.HasField("status") else None,
+            message.ran.seconds,
+            message.ran.core_seconds,
+            message.ran.memory,
+        )
+    return Standing(
+        message.key,
+        STAGES.get(message.stage, "unknown"),
+        job.offering,
+        job.customer,
+        job.service,
+        job.cores,
+        job.memory,
+        message.name,
+        job.id,
+        message.host,
+        message.reason,
+        ran,
+        at(message.taken_ago),
+        at(message.placed_ago),
+        at(message.ended_ago),
+        message.ending,
+    )
--- a/linedeal/controller/front.py
+++ b/linedeal/controller/front.py
@@ -17,7 +17,7 @@
 from linedeal.settings.records import Cluster
 
 SESSION_MOST = 200  # characters of a session's name
-KEY_MOST = 200      # characters of a client's key for a job
+KEY_MOST = 200  # characters of a client's key for a job
 
 
 @dataclass(slots=True, eq=False)
@@ -25,16 +25,18 @@
     number: int
     link: Link
     name: str = ""
-    session: str = ""           # qualified by the customer whose key it has shown: nobody else can name it
+    session: str = ""  # qualified by the customer whose key it has shown: nobody else can name it
     proven: str = ""
     outbox: deque = field(default_factory=deque)
-    waiting: int = 0            # bytes in it
+    waiting: int = 0  # bytes in it
     wake: anyio.Event = field(default_factory=anyio.Event)
     lost: anyio.Event = field(default_factory=anyio.Event)
 
 
 class Front:
-    def __init__(self, controller: str, net: Net, cluster: Cluster, inbox: Inbox, log, owed: Callable[[int], bool]):
+    def __init__(
+        self, controller: str, net: Net, cluster: Cluster, inbox: Inbox, log, owed: Callable[[int], bool]
+    ):
         """`owed`: whether the link of that number waits for an answer, which the engine knows."""
         self.keys, limits = cluster.keys, cluster.limits
         self.offerings = translate.offerings(cluster.settings)
@@ -42,8 +44,8 @@
         self.owed = owed
         self.clients: dict[int, Client] = {}
         self.numbers = 0
-        self.strangers = 0          # links that have not said who they are
-        self.links = Shares()       # of each customer that has shown its key
+        self.strangers = 0  # links that have not said who they are
+        self.links = Shares()  # of each customer that has shown its key
         self.closing = False
 
     async def run(self, address: Address, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
@@ -103,13 +105,22 @@
                 client.name = hello.name[:80]
                 client.session = owners.qualified(client.proven, hello.session[:SESSION_MOST])
                 if not self.room_for(client):
-                    await client.link.send(encode(pb.Bye(reason="too many clients", retry_after=self.limits.retry_after)))
+                    await client.link.send(
+                        encode(pb.Bye(reason="too many clients", retry_after=self.limits.retry_after))
+                    )
                     raise LinkLost("too many clients" + " of this customer" * bool(client.proven))
                 # counted before the welcome leaves: others may say hello meanwhile
                 self.clients[client.number] = client
                 self.links.add(client.proven, 1)
-                await client.link.send(encode(pb.Welcome(
-                    version=min(hello.version, VERSION), name=self.controller, offerings=self.offerings)))
+                await client.link.send(
+                    encode(
+                        pb.Welcome(
+                            version=min(hello.version, VERSION),
+                            name=self.controller,
+                            offerings=self.offerings,
+                        )
+                    )
+                )
         except TimeoutError:
             raise LinkLost(f"no hello within {self.limits.hello:g} s") from None
         finally:
@@ -131,7 +142,7 @@
                 messages = await client.link.receive_all()
             if idle.cancelled_caught:
                 if client.session or self.owed(client.number):
-                    continue        # a session's owner may wait for days, and is told when something happens
+                    continue  # a session's owner may wait for days, and is told when something happens
                 raise LinkLost(f"idle for {self.limits.client_idle:g} s")
             await self.inbox.post(*[self.event(client, message) for message in messages])
 
@@ -156,7 +167,9 @@
 
     async def let_go(self, client: Client) -> None:
         await client.lost.wait()
-        raise LinkLost(f"it leaves {client.waiting} bytes unread, over the bound of {self.limits.client_bytes}")
+        raise LinkLost(
+            f"it leaves {client.waiting} bytes unread, over the bound of {self.limits.client_bytes}"
+        )
 
     async def write(self, client: Client) -> None:
         while True:
--- a/linedeal/controller/hostlink.py
+++ b/linedeal/controller/hostlink.py
@@ -16,19 +16,28 @@
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 from linedeal.settings.records import Limits
 
-WRITE_MOST = 65536      # bytes taken for one write: what is in it has left, so it is not all that waits
+WRITE_MOST = 65536  # bytes taken for one write: what is in it has left, so it is not all that waits
 
 
 class HostLink:
     """One host's link over the life of a controller. The sync methods are for the loop that carries out effects."""
 
-    def __init__(self, listed: on.ListedHost, controller: str, life: int, net: Net, limits: Limits, inbox: Inbox,
-                 next_link, log):
+    def __init__(
+        self,
+        listed: on.ListedHost,
+        controller: str,
+        life: int,
+        net: Net,
+        limits: Limits,
+        inbox: Inbox,
+        next_link,
+        log,
+    ):
         self.listed, self.controller, self.life = listed, controller, life
         self.net, self.limits, self.inbox, self.next_link, self.log = net, limits, inbox, next_link, log
         self.outbox: deque = deque()
         self.up = False
-        self.boot = 0               # of the host at the other end
+        self.boot = 0  # of the host at the other end
         self.wake = anyio.Event()
         self.written_at = self.heard_at = 0.0
         self.scope = anyio.CancelScope()
@@ -52,6 +61,7 @@
 
     def keep_back(self, number: int | None = None) -> None:
         """Hands launches back that have not begun to leave, or that one: what they were decided on holds no more."""
+
         def meant(effect):
             return isinstance(effect, do.SendLaunch) and number in (None, effect.number)
 
@@ -71,7 +81,9 @@
 
     def tell(self, effect) -> None:
         """Only on a link that stands: a new one tells the engine all that it needs to say it again."""
-        if self.up and len(self.outbox) < 2 * self.limits.link_queue:      # past that the link is ended, see keep_alive
+        if (
+            self.up and len(self.outbox) < 2 * self.limits.link_queue
+        ):  # past that the link is ended, see keep_alive
             self.queue(effect)
 
     def queue(self, effect) -> None:
@@ -96,9 +108,16 @@
             try:
                 link, welcome = await self.make()
                 number = self.next_number
-                await self.inbox.post(on.LinkUp(
-                    self.listed.id, number, welcome.boot, welcome.age,
-                    tuple(translate.held(item) for item in welcome.held), welcome.forgot))
+                await self.inbox.post(
+                    on.LinkUp(
+                        self.listed.id,
+                        number,
+                        welcome.boot,
+                        welcome.age,
+                        tuple(translate.held(item) for item in welcome.held),
+                        welcome.forgot,
+                    )
+                )
                 self.boot = welcome.boot
                 await self.serve(link, number)
             except LinkLost as error:
@@ -113,8 +132,11 @@
     async def down(self, number: int, why: str) -> None:
         waiting, self.outbox = self.outbox, deque()
         self.wake = anyio.Event()
-        await self.inbox.post(on.LinkDown(
-            self.listed.id, number, tuple(e.number for e in waiting if isinstance(e, do.SendLaunch)), why))
+        await self.inbox.post(
+            on.LinkDown(
+                self.listed.id, number, tuple(e.number for e in waiting if isinstance(e, do.SendLaunch)), why
+            )
+        )
 
     async def make(self) -> tuple[Link, pb.Welcome]:
         """A link that the host has welcomed. Raises LinkLost; no launch has left by then."""
@@ -128,9 +150,21 @@
 
     async def greet(self, address: Address) -> tuple[Link, pb.Welcome]:
         self.next_number = self.next_link()
-        link, message = await open_link(self.net, address, FrameReader(), encode(pb.Hello(
-            version=VERSION, role=pb.CONTROLLER, name=self.controller, life=self.life, link=self.next_number)),
-            self.limits.connect)
+        link, message = await open_link(
+            self.net,
+            address,
+            FrameReader(),
+            encode(
+                pb.Hello(
+                    version=VERSION,
+                    role=pb.CONTROLLER,
+                    name=self.controller,
+                    life=self.life,
+                    link=self.next_number,
+                )
+            ),
+            self.limits.connect,
+        )
         try:
             if isinstance(message, pb.Bye) and message.fenced:
                 await self.inbox.post(on.Fenced(self.listed.id, message.reason[:200]))
@@ -138,7 +172,9 @@
             if not isinstance(message, pb.Welcome):
                 raise LinkLost(f"{type(message).__name__} in place of a welcome")
             if message.name != self.listed.id:
-                raise LinkLost(f"host {message.name[:80]!r} answers there")     # an address that was given to another
+                raise LinkLost(
+                    f"host {message.name[:80]!r} answers there"
+                )  # an address that was given to another
         except BaseException:
             await link.close()
             raise
@@ -187,8 +223,11 @@
                     self.inbox.put(on.Unsent(self.listed.id, (number,)))
                 case do.SendLaunch(_, number, job, due):
                     numbers.append(number)
-                    data += encode(pb.Offer(launch=self.own(number), job=translate.spec_of(job, effect.work),
-                                            wait=due - now))
+                    data += encode(
+                        pb.Offer(
+                            launch=self.own(number), job=translate.spec_of(job, effect.work), wait=due - now
+                        )
+                    )
                 case do.SendProbe(_, number):
                     data += encode(pb.Probe(number=number))
                 case do.SendStop(_, launch):
@@ -211,5 +250,8 @@
                 continue
             if now - self.written_at > self.limits.link_silent:
                 raise LinkLost(f"nothing heard for {now - self.heard_at:.1f} s")
-            if now - self.written_at > self.limits.link_silent / 2 and len(self.outbox) < self.limits.link_queue:
+            if (
+                now - self.written_at > self.limits.link_silent / 2
+                and len(self.outbox) < self.limits.link_queue
+            ):
                 self.queue(do.SendProbe(self.listed.id, 0))
--- a/linedeal/controller/runtime.py
+++ b/linedeal/controller/runtime.py
@@ -21,10 +21,10 @@
 from linedeal.state import Store, StoreFault, steady
 from linedeal.state.journal import FULL_AT, Journal, to_keep
 
-KEEP_EVERY = 1.0        # seconds between two writes of the list
-ROOM_EVERY = 1.0        # seconds between two looks at the journal's room
-TELL_EVERY = 10.0       # seconds between two lines that sum up
-LEAVE_DUTIES = 1.0      # seconds for the council to hear, at the end, that duties are given up
+KEEP_EVERY = 1.0  # seconds between two writes of the list
+ROOM_EVERY = 1.0  # seconds between two looks at the journal's room
+TELL_EVERY = 10.0  # seconds between two lines that sum up
+LEAVE_DUTIES = 1.0  # seconds for the council to hear, at the end, that duties are given up
 
 
 class Halted(Exception):
@@ -38,39 +38,56 @@
     listen: Address
     discovery: Address
     seed: int
-    council_seat: Address | None = None     # where it listens as a member of the council; None: at the file's address
-    council_token: str = ""                 # shown to the council's members
+    council_seat: Address | None = (
+        None  # where it listens as a member of the council; None: at the file's address
+    )
+    council_token: str = ""  # shown to the council's members
 
 
 class Runtime:
     def __init__(self, setup: Setup, store: Store, net: Net, log, policy=Controller):
         self.setup, self.store, self.net = setup, store, net
-        self.life = store.next_life()       # on disk before anything of this life can be sent
+        self.life = store.next_life()  # on disk before anything of this life can be sent
         kept = setup.cluster.journal
         self.journal = Journal(store, kept.power, kept.most, kept.spare)
-        self.clock = steady.go_on(store.clock(), steady.this_machine(), steady.monotonic(), time.time(),
-                                  self.journal.last_written())
+        self.clock = steady.go_on(
+            store.clock(), steady.this_machine(), steady.monotonic(), time.time(), self.journal.last_written()
+        )
         store.keep_clock(self.clock.base)
-        self.disk = anyio.Lock()            # one connection: one transaction at a time
+        self.disk = anyio.Lock()  # one connection: one transaction at a time
         self.log = log.bind(controller=setup.name, life=self.life)
         self.policy = policy
         self.links: dict[str, HostLink] = {}
         self.kept: dict[str, on.ListedHost] = {}
         self.dirty = anyio.Event()
         self.leaving = anyio.Event()
-        self.office = None                  # its part in the fleet's duties, where there is a council
+        self.office = None  # its part in the fleet's duties, where there is a council
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
         """Runs until `leave` is called or the life has to end (Halted). Tells the address that clients may use."""
         now = anyio.current_time()
-        self.engine = Engine(self.setup.cluster, self.setup.name, self.life, self.setup.seed + self.life, now,
-                             self.policy)
+        self.engine = Engine(
+            self.setup.cluster, self.setup.name, self.life, self.setup.seed + self.life, now, self.policy
+        )
         self.inbox = Inbox(self.engine.put)
         self.turning = Turning(self.engine, self.inbox, self.setup.cluster.limits.tick)
-        self.front = Front(self.setup.name, self.net, self.setup.cluster, self.inbox, self.log,
-                           lambda client: bool(self.engine.clients.get(client)))
-        self.watch = DiscoveryWatch(self.setup.discovery, self.setup.name, self.life, self.net,
-                                    self.setup.cluster.limits, self.inbox, self.log)
+        self.front = Front(
+            self.setup.name,
+            self.net,
+            self.setup.cluster,
+            self.inbox,
+            self.log,
+            lambda client: bool(self.engine.clients.get(client)),
+        )
+        self.watch = DiscoveryWatch(
+            self.setup.discovery,
+            self.setup.name,
+            self.life,
+            self.net,
+            self.setup.cluster.limits,
+            self.inbox,
+            self.log,
+        )
         numbers = itertools.count(1)
         self.next_link = lambda: next(numbers)
         async with anyio.create_task_group() as self.tasks:
@@ -102,31 +119,67 @@
         from linedeal.fleet.apart import run_apart
         from linedeal.fleet.office import Office
         from linedeal.fleet.service import Council
+
         if self.setup.name in council.places:
             seat = self.setup.council_seat or council.places[self.setup.name]
-            member = Council(council, self.setup.name, self.store.path.parent, seat, self.setup.council_token, self.net,
-                             self.log, hosts=self.hosts_now)
+            member = Council(
+                council,
+                self.setup.name,
+                self.store.path.parent,
+                seat,
+                self.setup.council_token,
+                self.net,
+                self.log,
+                hosts=self.hosts_now,
+            )
             self.tasks.start_soon(run_apart, "council", member.run, self.log)
-        self.office = Office(council, self.setup.name, self.life, self.setup.council_token, self.net, self.sees, self.log,
-                        self.setup.cluster.campaign, self.hosts_now)
+        self.office = Office(
+            council,
+            self.setup.name,
+            self.life,
+            self.setup.council_token,
+            self.net,
+            self.sees,
+            self.log,
+            self.setup.cluster.campaign,
+            self.hosts_now,
+        )
         self.tasks.start_soon(run_apart, "duties", self.office.run, self.log)
 
     def hosts_now(self):
         """For the fleet's duties: the hosts by the list, and how old that is."""
         from linedeal.duties.campaign import Mode as Stands
         from linedeal.fleet.hosts import HostNow, HostsNow
+
         now = anyio.current_time()
-        return HostsNow({record.listed.id: HostNow(
-            record.listed.kind, record.listed.zone, record.listed.cell, Stands[MODES[record.listed.mode]],
-            record.listed.boot, now - record.booted, next(iter(record.listed.addresses), ""))
-            for record in self.engine.fleet.hosts.values()}, now - self.watch.heard_at)
+        return HostsNow(
+            {
+                record.listed.id: HostNow(
+                    record.listed.kind,
+                    record.listed.zone,
+                    record.listed.cell,
+                    Stands[MODES[record.listed.mode]],
+                    record.listed.boot,
+                    now - record.booted,
+                    next(iter(record.listed.addresses), ""),
+                )
+                for record in self.engine.fleet.hosts.values()
+            },
+            now - self.watch.heard_at,
+        )
 
     def sees(self) -> tuple[dict[str, float], dict[str, float]]:
         """Sums since its start, and how it stands now, for the log and the census."""
-        return ({name: value for name, value in self.engine.counts.items() if value},
-                {"held": len(self.engine.taken), "waiting": len(self.engine.module.waiting),
-                 "clients": len(self.front.clients), "links": sum(link.up for link in self.links.values()),
-                 "hosts": len(self.links)})
+        return (
+            {name: value for name, value in self.engine.counts.items() if value},
+            {
+                "held": len(self.engine.taken),
+                "waiting": len(self.engine.module.waiting),
+                "clients": len(self.front.clients),
+                "links": sum(link.up for link in self.links.values()),
+                "hosts": len(self.links),
+            },
+        )
 
     def leave(self) -> None:
         """Take nothing new, answer what is held, and end; at the latest after `limits.leave` seconds."""
@@ -170,8 +223,11 @@
         if full != self.engine.full:
             self.engine.full = full
             if full:
-                self.log.error("journal is full: sessions' jobs are turned away", used=self.journal.used(),
-                               most=self.journal.most)
+                self.log.error(
+                    "journal is full: sessions' jobs are turned away",
+                    used=self.journal.used(),
+                    most=self.journal.most,
+                )
             else:
                 self.log.info("journal has room again", used=self.journal.used())
 
@@ -180,14 +236,14 @@
         while True:
             effects = self.turning.turn()
             keep = to_keep(effects)
-            if keep:    # on disk before any of it shows: the turn's jobs share the flush, the next turn gathers meanwhile
+            if keep:  # on disk before any of it shows: the turn's jobs share the flush, the next turn gathers meanwhile
                 await self.keep(keep)
             for effect in effects:
                 self.carry(effect)
             if self.leaving.is_set():
                 ends = min(ends, anyio.current_time() + self.setup.cluster.limits.leave)
                 if not self.engine.taken or anyio.current_time() >= ends:
-                    await anyio.sleep(0.05)     # the last answers are on their way to the clients
+                    await anyio.sleep(0.05)  # the last answers are on their way to the clients
                     return
             await self.wait(min(self.engine.next_due(), ends))
 
@@ -215,7 +271,7 @@
         elif kind is do.Note:
             getattr(self.log, effect.level)(effect.event, **dict(effect.fields))
         elif kind in ONLY_KEPT:
-            pass        # the journal has them
+            pass  # the journal has them
         elif kind is do.Halt:
             raise Halted(effect.reason)
         else:
@@ -227,17 +283,26 @@
         link = self.links.get(listed.id)
         if listed.mode is Mode.GONE:
             if link is not None:
-                link.relist(listed)     # what waits for it goes back
+                link.relist(listed)  # what waits for it goes back
             return
         if link is None:
-            link = self.links[listed.id] = HostLink(listed, self.setup.name, self.life, self.net,
-                                                    self.setup.cluster.limits, self.inbox, self.next_link, self.log)
+            link = self.links[listed.id] = HostLink(
+                listed,
+                self.setup.name,
+                self.life,
+                self.net,
+                self.setup.cluster.limits,
+                self.inbox,
+                self.next_link,
+                self.log,
+            )
             self.tasks.start_soon(link.run_until_dropped)
         link.relist(listed)
         old = self.kept.get(listed.id)
         self.kept[listed.id] = listed
         if old is None or replace(old, age=0.0, free_cores=None, free_memory=None) != replace(
-                listed, age=0.0, free_cores=None, free_memory=None):
+            listed, age=0.0, free_cores=None, free_memory=None
+        ):
             self.dirty.set()
 
     async def keep_list(self) -> None:
@@ -245,11 +310,12 @@
         while True:
             await self.dirty.wait()
             self.dirty = anyio.Event()
-            hosts = tuple(host for host in self.kept.values()
-                          if host.id in self.links and host.mode is not Mode.GONE)
+            hosts = tuple(
+                host for host in self.kept.values() if host.id in self.links and host.mode is not Mode.GONE
+            )
             try:
                 await self.on_disk(self.store.keep_list, self.journal_time(), self.watch.version, hosts)
-            except StoreFault as error:     # the former list stays; jobs do not wait for a disk
+            except StoreFault as error:  # the former list stays; jobs do not wait for a disk
                 self.log.error("list not kept", reason=str(error))
             await anyio.sleep(KEEP_EVERY)
 
@@ -266,7 +332,9 @@
         while True:
             await anyio.sleep(TELL_EVERY)
             sums, stands = self.sees()
-            self.log.info("at work", **stands, **{name.replace(" ", "_"): value for name, value in sums.items()})
+            self.log.info(
+                "at work", **stands, **{name.replace(" ", "_"): value for name, value in sums.items()}
+            )
 
 
 LINK_EFFECTS = {
--- a/linedeal/controller/translate.py
+++ b/linedeal/controller/translate.py
@@ -9,18 +9,36 @@
 from linedeal.net import LinkLost
 from linedeal.protocol import pb
 
-RESULTS = {pb.DONE: api.Result.DONE, pb.ERROR: api.Result.ERROR, pb.LOST: api.Result.CUT,
-           pb.STOPPED: api.Result.STOPPED}
-WHYS = {pb.NO_CORES: api.Why.CORES, pb.NO_MEMORY: api.Why.MEMORY, pb.QUEUE_FULL: api.Why.QUEUE,
-        pb.NOT_HERE: api.Why.NOT_HERE, pb.EVICTED: api.Why.EVICTED, pb.PUSHED_OUT: api.Why.PUSHED_OUT,
-        pb.SENT_AWAY: api.Why.SENT_AWAY}
-PHASES = {pb.QUEUED: on.Phase.QUEUED, pb.ACCEPTED: on.Phase.ACCEPTED, pb.RUNNING: on.Phase.RUNNING,
-          pb.OVER: on.Phase.OVER}
+RESULTS = {
+    pb.DONE: api.Result.DONE,
+    pb.ERROR: api.Result.ERROR,
+    pb.LOST: api.Result.CUT,
+    pb.STOPPED: api.Result.STOPPED,
+}
+WHYS = {
+    pb.NO_CORES: api.Why.CORES,
+    pb.NO_MEMORY: api.Why.MEMORY,
+    pb.QUEUE_FULL: api.Why.QUEUE,
+    pb.NOT_HERE: api.Why.NOT_HERE,
+    pb.EVICTED: api.Why.EVICTED,
+    pb.PUSHED_OUT: api.Why.PUSHED_OUT,
+    pb.SENT_AWAY: api.Why.SENT_AWAY,
+}
+PHASES = {
+    pb.QUEUED: on.Phase.QUEUED,
+    pb.ACCEPTED: on.Phase.ACCEPTED,
+    pb.RUNNING: on.Phase.RUNNING,
+    pb.OVER: on.Phase.OVER,
+}
 MODES = {pb.SERVING: api.Mode.SERVING, pb.DRAINING: api.Mode.DRAINING, pb.GONE: api.Mode.GONE}
 ORDERS = {pb.HOLD: OrderKind.HOLD, pb.RELEASE: OrderKind.RELEASE, pb.END: OrderKind.END}
 ORDER_CODES = {kind: code for code, kind in ORDERS.items()}
 FAULTS = {Fault.NONE: pb.FAULT_NONE, Fault.NO_SUCH_JOB: pb.NO_SUCH_JOB, Fault.WRONG_STATE: pb.WRONG_STATE}
-VERDICTS = {do.Verdict.PLACED: pb.PLACED, do.Verdict.REJECTED: pb.REJECTED, do.Verdict.WRITTEN_OFF: pb.WRITTEN_OFF}
+VERDICTS = {
+    do.Verdict.PLACED: pb.PLACED,
+    do.Verdict.REJECTED: pb.REJECTED,
+    do.Verdict.WRITTEN_OFF: pb.WRITTEN_OFF,
+}
 
 
 def launch_id(message) -> on.LaunchId:
@@ -32,8 +50,15 @@
 
 
 def spec_of(job: api.Job, work: bytes = b"") -> pb.JobSpec:
-    return pb.JobSpec(id=job.id, offering=job.offering, customer=job.customer, service=job.service, cores=job.cores,
-                      memory=job.memory, work=work)
+    return pb.JobSpec(
+        id=job.id,
+        offering=job.offering,
+        customer=job.customer,
+        service=job.service,
+        cores=job.cores,
+        memory=job.memory,
+        work=work,
+    )
 
 
 def ran_of(message) -> on.Ran | None:
@@ -45,16 +70,29 @@
 
 
 def held(item) -> on.Held:
-    return on.Held(launch_id(item.launch), job_of(item.job), PHASES.get(item.phase, on.Phase.ACCEPTED),
-                   RESULTS.get(item.outcome, api.Result.ERROR), WHYS.get(item.reason, api.Why.UNTOLD), ran_of(item))
+    return on.Held(
+        launch_id(item.launch),
+        job_of(item.job),
+        PHASES.get(item.phase, on.Phase.ACCEPTED),
+        RESULTS.get(item.outcome, api.Result.ERROR),
+        WHYS.get(item.reason, api.Why.UNTOLD),
+        ran_of(item),
+    )
 
 
 def listed(entry) -> on.ListedHost:
     return on.ListedHost(
-        entry.id, tuple(entry.addresses), entry.kind, entry.zone, entry.cell,
-        MODES.get(entry.mode, api.Mode.DRAINING), entry.boot, entry.age,
+        entry.id,
+        tuple(entry.addresses),
+        entry.kind,
+        entry.zone,
+        entry.cell,
+        MODES.get(entry.mode, api.Mode.DRAINING),
+        entry.boot,
+        entry.age,
         entry.free_cores if entry.HasField("free_cores") else None,
-        entry.free_memory if entry.HasField("free_memory") else None)
+        entry.free_memory if entry.HasField("free_memory") else None,
+    )
 
 
 def host_said(host: str, message):
@@ -66,8 +104,12 @@
         case pb.Accepted():
             return on.Accepted(host, launch_id(message.launch))
         case pb.Refused():
-            return on.Refused(host, launch_id(message.launch), WHYS.get(message.reason, api.Why.UNTOLD),
-                              message.detail[:200])
+            return on.Refused(
+                host,
+                launch_id(message.launch),
+                WHYS.get(message.reason, api.Why.UNTOLD),
+                message.detail[:200],
+            )
         case pb.Started():
             return on.Started(host, launch_id(message.launch))
         case pb.Use():
@@ -75,8 +117,13 @@
         case pb.Service():
             return on.Served(host, launch_id(message.launch), message.served, message.host_memory)
         case pb.Ended():
-            return on.Over(host, launch_id(message.launch), RESULTS.get(message.outcome, api.Result.ERROR),
-                           WHYS.get(message.reason, api.Why.UNTOLD), ran_of(message))
+            return on.Over(
+                host,
+                launch_id(message.launch),
+                RESULTS.get(message.outcome, api.Result.ERROR),
+                WHYS.get(message.reason, api.Why.UNTOLD),
+                ran_of(message),
+            )
         case pb.Report():
             return on.Reported(host, message.number, dict(message.figures)) if message.number else None
         case pb.Bye():
@@ -88,25 +135,54 @@
 
 def submitted(client: int, session: str, proven: str, message) -> on.Submitted:
     job = message.job
-    return on.Submitted(client, message.key, job.offering, job.customer or proven, job.service, job.cores, job.memory,
-                        message.wait, session, proven, job.work, message.follow, message.hold, message.start_in)
+    return on.Submitted(
+        client,
+        message.key,
+        job.offering,
+        job.customer or proven,
+        job.service,
+        job.cores,
+        job.memory,
+        message.wait,
+        session,
+        proven,
+        job.work,
+        message.follow,
+        message.hold,
+        message.start_in,
+    )
 
 
 def standing(effect: do.Standing) -> pb.Standing:
     ran = None
     if effect.ran is not None:
-        ran = pb.Ran(status=effect.ran.status, seconds=effect.ran.seconds, core_seconds=effect.ran.core_seconds,
-                     memory=effect.ran.memory)
+        ran = pb.Ran(
+            status=effect.ran.status,
+            seconds=effect.ran.seconds,
+            core_seconds=effect.ran.core_seconds,
+            memory=effect.ran.memory,
+        )
     return pb.Standing(
-        key=effect.key, job=spec_of(effect.job), stage=pb.Stage.Value(f"STAGE_{effect.stage.name}"), host=effect.host,
-        reason=effect.reason, ran=ran, taken_ago=effect.taken_ago, placed_ago=effect.placed_ago,
-        ended_ago=effect.ended_ago, name=name_of(effect.work), ending=effect.ending)
+        key=effect.key,
+        job=spec_of(effect.job),
+        stage=pb.Stage.Value(f"STAGE_{effect.stage.name}"),
+        host=effect.host,
+        reason=effect.reason,
+        ran=ran,
+        taken_ago=effect.taken_ago,
+        placed_ago=effect.placed_ago,
+        ended_ago=effect.ended_ago,
+        name=name_of(effect.work),
+        ending=effect.ending,
+    )
 
 
 def offerings(settings: api.Settings) -> list[pb.OfferingInfo]:
     """What clients are told of the offerings: they need to know which may be asked for twice."""
-    return [pb.OfferingInfo(name=name, redoable=item.effect is api.Effect.REDOABLE, expiry=item.expiry)
-            for name, item in settings.offerings.items()]
+    return [
+        pb.OfferingInfo(name=name, redoable=item.effect is api.Effect.REDOABLE, expiry=item.expiry)
+        for name, item in settings.offerings.items()
+    ]
 
 
 def name_of(work: bytes) -> str:
@@ -114,7 +190,7 @@
     try:
         return pb.Work.FromString(work).name[:200] if work else ""
     except DecodeError:
-        return ""       # it is the owner's and the host's affair, nothing here depends on it
+        return ""  # it is the owner's and the host's affair, nothing here depends on it
 
 
 def to_client(effect):
@@ -131,6 +207,10 @@
         case do.AllTold(_, more):
             return pb.AllTold(more=more)
         case do.Reply(_, key, kind, fault, reason):
-            return pb.Ordered(key=key, kind=ORDER_CODES.get(kind, pb.ORDER_UNKNOWN), fault=FAULTS[fault],
-                              reason=reason or (fault.value if fault is not Fault.NONE else ""))
+            return pb.Ordered(
+                key=key,
+                kind=ORDER_CODES.get(kind, pb.ORDER_UNKNOWN),
+                fault=FAULTS[fault],
+                reason=reason or (fault.value if fault is not Fault.NONE else ""),
+            )
     raise TypeError(f"no message for {effect!r}")
--- a/linedeal/controller/watch.py
+++ b/linedeal/controller/watch.py
@@ -11,13 +11,15 @@
 
 
 class DiscoveryWatch:
-    def __init__(self, address: Address, controller: str, life: int, net: Net, limits: Limits, inbox: Inbox, log):
+    def __init__(
+        self, address: Address, controller: str, life: int, net: Net, limits: Limits, inbox: Inbox, log
+    ):
         self.address, self.controller, self.life = address, controller, life
         self.net, self.limits, self.inbox, self.log = net, limits, inbox, log
         self.wanted = anyio.Event()
-        self.version = 0            # of the list as applied; 0 asks for the whole
+        self.version = 0  # of the list as applied; 0 asks for the whole
         self.asked_at: float | None = None
-        self.heard_at = anyio.current_time()    # a list, or a change of it
+        self.heard_at = anyio.current_time()  # a list, or a change of it
 
     def ask(self) -> None:
         self.wanted.set()
@@ -27,9 +29,15 @@
             await self.wanted.wait()
             link, why = None, ""
             try:
-                link, welcome = await open_link(self.net, self.address, FrameReader(), encode(pb.Hello(
-                    version=VERSION, role=pb.CONTROLLER, name=self.controller, life=self.life)),
-                    self.limits.watch)
+                link, welcome = await open_link(
+                    self.net,
+                    self.address,
+                    FrameReader(),
+                    encode(
+                        pb.Hello(version=VERSION, role=pb.CONTROLLER, name=self.controller, life=self.life)
+                    ),
+                    self.limits.watch,
+                )
                 if not isinstance(welcome, pb.Welcome):
                     raise LinkLost(f"{type(welcome).__name__} in place of a welcome")
                 await self.serve(link)
@@ -65,11 +73,14 @@
             if not isinstance(message, pb.HostList):
                 raise LinkLost(f"discovery may not send {type(message).__name__}")
             if not message.whole and message.since > self.version:
-                self.version = 0    # a change is missing: the next watch asks for the whole
+                self.version = 0  # a change is missing: the next watch asks for the whole
                 self.wanted.set()
                 continue
             self.asked_at = None
             self.heard_at = anyio.current_time()
             self.version = message.version
-            await self.inbox.post(on.ListHeard(tuple(translate.listed(entry) for entry in message.hosts),
-                                               message.whole, message.version))
+            await self.inbox.post(
+                on.ListHeard(
+                    tuple(translate.listed(entry) for entry in message.hosts), message.whole, message.version
+                )
+            )
--- a/linedeal/council/member.py
+++ b/linedeal/council/member.py
@@ -9,14 +9,47 @@
 from typing import Callable
 
 from linedeal.council import moves, rounds, slots, witness
-from linedeal.council.records import (EMPTY, MOST_BODY, MOST_KEYS, ROSTER, Accept, Accepted, Agreed, Answer, Ask,
-                                      Ballot, Elsewhere, Fault, Found, Identity, Install, Installed, Keep, Look,
-                                      Looked, Mark, Older, Outbid, Outcome, Packet, Prepare, Promised, Pulse, Retire,
-                                      Roster, Seal, Sealed, Send, Slot, Timing, Value)
+from linedeal.council.records import (
+    EMPTY,
+    MOST_BODY,
+    MOST_KEYS,
+    ROSTER,
+    Accept,
+    Accepted,
+    Agreed,
+    Answer,
+    Ask,
+    Ballot,
+    Elsewhere,
+    Fault,
+    Found,
+    Identity,
+    Install,
+    Installed,
+    Keep,
+    Look,
+    Looked,
+    Mark,
+    Older,
+    Outbid,
+    Outcome,
+    Packet,
+    Prepare,
+    Promised,
+    Pulse,
+    Retire,
+    Roster,
+    Seal,
+    Sealed,
+    Send,
+    Slot,
+    Timing,
+    Value,
+)
 from linedeal.council.rounds import Phase, Round, Told
 
-OWN = ""                # the client under whose name a member asks for itself
-MOST_STRANGERS = 32     # directories of no council that are remembered
+OWN = ""  # the client under whose name a member asks for itself
+MOST_STRANGERS = 32  # directories of no council that are remembered
 NOBODY = Roster(0, ())
 
 
@@ -36,23 +69,36 @@
     numbers in [0, 1) that differ between members.
     """
 
-    def __init__(self, me: Identity, cluster: str, named: tuple[str, ...], kept: dict[str, object], start: int,
-                 spread: Callable[[], float], timing: Timing = Timing()):
+    def __init__(
+        self,
+        me: Identity,
+        cluster: str,
+        named: tuple[str, ...],
+        kept: dict[str, object],
+        start: int,
+        spread: Callable[[], float],
+        timing: Timing = Timing(),
+    ):
         self.me, self.cluster, self.named, self.spread, self.timing = me, cluster, named, spread, timing
         self.roster: Roster = kept.get("roster", NOBODY)
-        self.sealed: Roster | None = kept.get("sealed")     # the next roster; set: no votes in this epoch any more
-        self.agreed: Roster | None = kept.get("agreed")     # the only first roster this directory agreed to
+        self.sealed: Roster | None = kept.get(
+            "sealed"
+        )  # the next roster; set: no votes in this epoch any more
+        self.agreed: Roster | None = kept.get("agreed")  # the only first roster this directory agreed to
         self.retired: str = kept.get("retired", "")
-        self.slots: dict[str, Slot] = {name[5:]: slot for name, slot in kept.items() if name.startswith("slot/")}
-        self.seen: dict[Identity, Mark] = {Identity(mark.name, mark.incarnation): mark
-                                           for mark in kept.get("seen", ())}
+        self.slots: dict[str, Slot] = {
+            name[5:]: slot for name, slot in kept.items() if name.startswith("slot/")
+        }
+        self.seen: dict[Identity, Mark] = {
+            Identity(mark.name, mark.incarnation): mark for mark in kept.get("seen", ())
+        }
         self.life, self.start, self.born = kept.get("life", 0) + 1, start, kept.get("writes", 0)
         self.writes = self.born
-        self.known_by: frozenset[str] = frozenset()     # who has this life durably
+        self.known_by: frozenset[str] = frozenset()  # who has this life durably
         self.admitted = self.vouched = False
-        self.unformed: dict[str, Identity] = {}         # who said it belongs to no council yet
-        self.founders: frozenset[str] = frozenset()     # who agreed to the roster we found
-        self.elsewhere: Roster | None = None            # a roster that we are not of
+        self.unformed: dict[str, Identity] = {}  # who said it belongs to no council yet
+        self.founders: frozenset[str] = frozenset()  # who agreed to the roster we found
+        self.elsewhere: Roster | None = None  # a roster that we are not of
         self.rounds: dict[str, Round] = {}
         self.waiting: dict[str, tuple[Ask, ...]] = {}
         self.move: Move | None = None
@@ -97,7 +143,7 @@
             return self.done()
         if shown is witness.Sight.NEWER:
             self.seen[who] = newest
-            if who in self.roster.members:      # of others nothing is counted but that they are there
+            if who in self.roster.members:  # of others nothing is counted but that they are there
                 self.keep_seen()
         said = packet.said
         HEARD[type(said)](self, who, packet.epoch, said, now)
@@ -110,7 +156,9 @@
             return self.done()
         if now >= self.pulse_at:
             self.pulse_at = now + self.timing.pulse
-            for name in (self.roster if self.roster.epoch else self.elsewhere or NOBODY).names() or self.named:
+            for name in (
+                self.roster if self.roster.epoch else self.elsewhere or NOBODY
+            ).names() or self.named:
                 self.send(name, Pulse())
             self.found()
         for key, round in list(self.rounds.items()):
@@ -197,10 +245,27 @@
 
     def frozen(self) -> tuple:
         """All that decides what it does next but the time, hashable."""
-        return (self.roster, self.sealed, self.agreed, self.retired, frozenset(self.slots.items()),
-                frozenset(self.seen.items()), self.life, self.start, self.writes, self.known_by, self.admitted, self.vouched,
-                frozenset(self.unformed.items()), self.founders, frozenset(self.rounds.items()),
-                frozenset(self.waiting.items()), self.move, self.ballots, self.ill)
+        return (
+            self.roster,
+            self.sealed,
+            self.agreed,
+            self.retired,
+            frozenset(self.slots.items()),
+            frozenset(self.seen.items()),
+            self.life,
+            self.start,
+            self.writes,
+            self.known_by,
+            self.admitted,
+            self.vouched,
+            frozenset(self.unformed.items()),
+            self.founders,
+            frozenset(self.rounds.items()),
+            frozenset(self.waiting.items()),
+            self.move,
+            self.ballots,
+            self.ill,
+        )
 
     # --- votes
 
@@ -247,19 +312,24 @@
     def outbid(self, key: str, said: Outbid, now: float) -> None:
         round = self.rounds[key]
         wait = self.timing.backoff * 2 ** min(round.tries, 5) * (0.5 + self.spread())
-        self.rounds[key] = replace(round, top=max(round.top, said.promised.round),
-                                   again_at=min(round.again_at, now + wait))
+        self.rounds[key] = replace(
+            round, top=max(round.top, said.promised.round), again_at=min(round.again_at, now + wait)
+        )
 
     # --- rounds
 
     def asks(self) -> list[Ask]:
         """All that are not answered: those under way, and those that wait."""
-        return [round.ask for round in self.rounds.values()] + [ask for line in self.waiting.values() for ask in line]
+        return [round.ask for round in self.rounds.values()] + [
+            ask for line in self.waiting.values() for ask in line
+        ]
 
     def crowded(self, client: str) -> bool:
         asks = self.asks()
-        return client != OWN and (len(asks) >= self.timing.most_waiting
-                                  or sum(ask.client == client for ask in asks) >= self.timing.most_of_client)
+        return client != OWN and (
+            len(asks) >= self.timing.most_waiting
+            or sum(ask.client == client for ask in asks) >= self.timing.most_of_client
+        )
 
     def begin_round(self, ask: Ask, now: float, top: int, tries: int) -> None:
         self.number += 1
@@ -334,8 +404,10 @@
 
     def told_older(self, who: Identity, epoch: int, said: Older, now: float) -> None:
         if witness.outdated(self.mark(), said.seen):
-            self.retire(f"{who.name} saw a newer copy of this directory: life {said.seen.life} with "
-                        f"{said.seen.writes} writes, this one has life {self.life} from {self.born} writes")
+            self.retire(
+                f"{who.name} saw a newer copy of this directory: life {said.seen.life} with "
+                f"{said.seen.writes} writes, this one has life {self.life} from {self.born} writes"
+            )
 
     def told_elsewhere(self, who: Identity, epoch: int, said: Elsewhere, now: float) -> None:
         if said.roster.epoch > self.roster.epoch and self.me not in said.roster.members:
@@ -362,8 +434,12 @@
             self.move = Move(self.sealed)
         if self.move is None:
             slot = self.slots.get(ROSTER, EMPTY)
-            if slot.value.version and ROSTER not in self.rounds and self.may_vote() \
-                    and moves.decoded(slot.value.body).epoch > self.roster.epoch:
+            if (
+                slot.value.version
+                and ROSTER not in self.rounds
+                and self.may_vote()
+                and moves.decoded(slot.value.body).epoch > self.roster.epoch
+            ):
                 self.begin_round(Ask(0, OWN, ROSTER, None, now + 10 * self.timing.again), now, 0, 1)
         elif now >= self.move.again_at:
             self.move = replace(self.move, again_at=now + self.timing.again)
@@ -407,25 +483,35 @@
     def asked_to_install(self, who: Identity, epoch: int, said: Install, now: float) -> None:
         if self.me in said.roster.members and said.roster.epoch > self.roster.epoch and not self.retired:
             if self.roster.epoch == 0 and said.roster.epoch == 1 and self.agreed != said.roster:
-                return          # the first roster only with everybody's consent
+                return  # the first roster only with everybody's consent
             self.install(said.roster, moves.merged((moves.state(self.slots), said.state)))
         if said.roster.epoch == self.roster.epoch:
             self.send(who.name, Installed(self.roster.epoch))
 
     def install(self, roster: Roster, slots: dict[str, Slot]) -> None:
         self.roster, self.slots, self.sealed, self.move = roster, dict(slots), None, None
-        self.known_by = frozenset()     # what was known of us at an earlier roster may be known to none of this one
+        self.known_by = (
+            frozenset()
+        )  # what was known of us at an earlier roster may be known to none of this one
         self.unformed = {name: who for name, who in self.unformed.items() if who not in roster.members}
         self.seen = {who: mark for who, mark in self.seen.items() if who in roster.members}
-        self.keep(("roster", roster), ("sealed", None), ("seen", tuple(self.seen.values())),
-                  *((f"slot/{key}", slot) for key, slot in slots.items()))
-        for key, round in list(self.rounds.items()):        # its votes are of the epoch that ended
+        self.keep(
+            ("roster", roster),
+            ("sealed", None),
+            ("seen", tuple(self.seen.values())),
+            *((f"slot/{key}", slot) for key, slot in slots.items()),
+        )
+        for key, round in list(self.rounds.items()):  # its votes are of the epoch that ended
             self.rounds[key] = replace(round, number=0, votes=(), again_at=0.0)
         self.pulse_at = 0.0
 
     def told_installed(self, who: Identity, epoch: int, said: Installed, now: float) -> None:
         """One that has begun helps all others on: a mover that is not of the new roster is done then."""
-        if self.move is not None and said.epoch == self.move.roster.epoch and self.me not in self.move.roster.members:
+        if (
+            self.move is not None
+            and said.epoch == self.move.roster.epoch
+            and self.me not in self.move.roster.members
+        ):
             self.elsewhere = self.move.roster
             self.move = None
             self.retire(f"replaced: the members are {', '.join(self.elsewhere.names())}")
@@ -468,9 +554,21 @@
                 self.send(who.name, Install(roster, ()))
 
 
-HEARD = {Look: Member.asked_to_vote, Prepare: Member.asked_to_vote, Accept: Member.asked_to_vote,
-         Looked: Member.voted, Promised: Member.voted, Accepted: Member.voted, Outbid: Member.voted,
-         Pulse: Member.pulsed, Older: Member.told_older, Elsewhere: Member.told_elsewhere,
-         Seal: Member.asked_to_seal, Sealed: Member.told_sealed,
-         Install: Member.asked_to_install, Installed: Member.told_installed,
-         Found: Member.asked_to_agree, Agreed: Member.told_agreed}
+HEARD = {
+    Look: Member.asked_to_vote,
+    Prepare: Member.asked_to_vote,
+    Accept: Member.asked_to_vote,
+    Looked: Member.voted,
+    Promised: Member.voted,
+    Accepted: Member.voted,
+    Outbid: Member.voted,
+    Pulse: Member.pulsed,
+    Older: Member.told_older,
+    Elsewhere: Member.told_elsewhere,
+    Seal: Member.asked_to_seal,
+    Sealed: Member.told_sealed,
+    Install: Member.asked_to_install,
+    Installed: Member.told_installed,
+    Found: Member.asked_to_agree,
+    Agreed: Member.told_agreed,
+}
--- a/linedeal/council/moves.py
+++ b/linedeal/council/moves.py
@@ -18,7 +18,9 @@
 
 
 def state(slots: dict[str, Slot]) -> State:
-    return tuple(sorted((key, slot.accepted, slot.value) for key, slot in slots.items() if slot.accepted.epoch))
+    return tuple(
+        sorted((key, slot.accepted, slot.value) for key, slot in slots.items() if slot.accepted.epoch)
+    )
 
 
 def merged(states: Iterable[State]) -> dict[str, Slot]:
--- a/linedeal/council/records.py
+++ b/linedeal/council/records.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
-RECENT = 32             # versions of a register whose change is remembered by its id
-MOST_KEYS = 64          # registers a council holds; all of them together fit into one frame
-MOST_BODY = 8192        # bytes of one register's value
-ROSTER = "council/roster"       # the register that says which roster comes next
+RECENT = 32  # versions of a register whose change is remembered by its id
+MOST_KEYS = 64  # registers a council holds; all of them together fit into one frame
+MOST_BODY = 8192  # bytes of one register's value
+ROSTER = "council/roster"  # the register that says which roster comes next
 
 
 class Fault(Exception):
@@ -36,7 +36,7 @@
 
     version: int = 0
     body: bytes = b""
-    changes: tuple[str, ...] = ()       # ids of the changes that made the last versions, newest last
+    changes: tuple[str, ...] = ()  # ids of the changes that made the last versions, newest last
 
 
 ABSENT = Value()
@@ -65,7 +65,7 @@
 @dataclass(frozen=True, slots=True)
 class Roster:
     epoch: int
-    members: tuple[Identity, ...]       # sorted
+    members: tuple[Identity, ...]  # sorted
 
     @property
     def majority(self) -> int:
@@ -82,13 +82,14 @@
     name: str
     incarnation: int
     life: int
-    start: int                  # drawn at the start of the process
-    born: int                   # writes of this directory before this life
-    writes: int                 # and by now
+    start: int  # drawn at the start of the process
+    born: int  # writes of this directory before this life
+    writes: int  # and by now
 
 
 # what is asked of the council
 
+
 @dataclass(frozen=True, slots=True)
 class Change:
     """Make `body` the register's value if its version is `expect` still. `id` is the asker's, never used twice."""
@@ -100,11 +101,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    number: int                 # the asker's, named in the answer
+    number: int  # the asker's, named in the answer
     client: str
     key: str
-    change: Change | None       # None: read
-    until: float                # this member's clock, seconds
+    change: Change | None  # None: read
+    until: float  # this member's clock, seconds
 
 
 class Outcome(Enum):
@@ -125,6 +126,7 @@
 
 # what members say; `round` numbers one try of one proposer's life
 
+
 @dataclass(frozen=True, slots=True)
 class Look:
     round: int
@@ -182,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sealed:
-    epoch: int                  # that comes
+    epoch: int  # that comes
     state: tuple[tuple[str, Ballot, Value], ...]
 
 
@@ -203,7 +205,7 @@
 class Pulse:
     """I am here, in this life."""
 
-    reply: int = 0              # the start of the life it answers, which is known durably now; 0: answers none
+    reply: int = 0  # the start of the life it answers, which is known durably now; 0: answers none
 
 
 @dataclass(frozen=True, slots=True)
@@ -236,15 +238,16 @@
 class Packet:
     cluster: str
     mark: Mark
-    epoch: int                  # of the sender; 0: it belongs to no council yet
+    epoch: int  # of the sender; 0: it belongs to no council yet
     said: object
 
 
 # what a member wants done, in this order: nothing behind a Keep is carried out before it is on disk
 
+
 @dataclass(frozen=True, slots=True)
 class Keep:
-    records: tuple[tuple[str, object], ...]     # name, value; a name kept before is replaced
+    records: tuple[tuple[str, object], ...]  # name, value; a name kept before is replaced
 
 
 @dataclass(frozen=True, slots=True)
@@ -264,8 +267,8 @@
 class Timing:
     """Seconds, and bounds of what waits."""
 
-    pulse: float = 1.0          # between two pulses to a peer
-    again: float = 0.4          # without a majority's replies until the next try
-    backoff: float = 0.05       # after being outbid, doubled each time and spread
-    most_waiting: int = 1024    # asks that wait at a member
+    pulse: float = 1.0  # between two pulses to a peer
+    again: float = 0.4  # without a majority's replies until the next try
+    backoff: float = 0.05  # after being outbid, doubled each time and spread
+    most_waiting: int = 1024  # asks that wait at a member
     most_of_client: int = 32
--- a/linedeal/council/rounds.py
+++ b/linedeal/council/rounds.py
@@ -7,7 +7,18 @@
 from enum import Enum
 
 from linedeal.council import slots
-from linedeal.council.records import (Accept, Accepted, Ask, Ballot, Look, Looked, Outcome, Prepare, Promised, Value)
+from linedeal.council.records import (
+    Accept,
+    Accepted,
+    Ask,
+    Ballot,
+    Look,
+    Looked,
+    Outcome,
+    Prepare,
+    Promised,
+    Value,
+)
 
 
 class Phase(Enum):
@@ -19,14 +30,14 @@
 @dataclass(frozen=True, slots=True)
 class Round:
     ask: Ask
-    number: int                 # of this try; a reply to another try has another number and is not counted
+    number: int  # of this try; a reply to another try has another number and is not counted
     ballot: Ballot
     phase: Phase
-    again_at: float             # when the next try begins, if no majority answered
-    votes: tuple[tuple[str, Ballot, Value], ...] = ()   # each member's once, whatever arrives twice
+    again_at: float  # when the next try begins, if no majority answered
+    votes: tuple[tuple[str, Ballot, Value], ...] = ()  # each member's once, whatever arrives twice
     proposal: Value | None = None
-    outcome: Outcome | None = None      # what the ask comes to once the proposal is chosen
-    top: int = 0                # highest round of a ballot heard of
+    outcome: Outcome | None = None  # what the ask comes to once the proposal is chosen
+    top: int = 0  # highest round of a ballot heard of
     tries: int = 1
 
 
@@ -47,10 +58,16 @@
     return Accept(round.number, round.ask.key, round.ballot, round.proposal)
 
 
-def heard(round: Round, name: str, said: Looked | Promised | Accepted, majority: int, number: int) -> Round | Told:
+def heard(
+    round: Round, name: str, said: Looked | Promised | Accepted, majority: int, number: int
+) -> Round | Told:
     """The round after a member's reply. `number` is that of the next try, should this reply begin one."""
     expected = {Phase.LOOK: Looked, Phase.PREPARE: Promised, Phase.ACCEPT: Accepted}[round.phase]
-    if type(said) is not expected or said.round != round.number or name in [voter for voter, *_ in round.votes]:
+    if (
+        type(said) is not expected
+        or said.round != round.number
+        or name in [voter for voter, *_ in round.votes]
+    ):
         return round
     if round.phase is Phase.ACCEPT:
         round = replace(round, votes=(*round.votes, (name, round.ballot, round.proposal)))
--- a/linedeal/council/slots.py
+++ b/linedeal/council/slots.py
@@ -43,7 +43,7 @@
     """
     if value.version == change.expect:
         return Outcome.DONE, Value(value.version + 1, change.body, (*value.changes, change.id)[-RECENT:])
-    back = value.version - change.expect        # its place from the newest, counted from 1
+    back = value.version - change.expect  # its place from the newest, counted from 1
     if back < 0 or 0 < back <= len(value.changes) and value.changes[-back] != change.id:
         return Outcome.CONFLICT, value
     return (Outcome.DONE if back <= len(value.changes) else Outcome.UNKNOWN), value
--- a/linedeal/council/witness.py
+++ b/linedeal/council/witness.py
@@ -35,5 +35,8 @@
 
     Word of an earlier life of ours, come late, proves nothing: it says fewer writes than we were born with.
     """
-    return seen.incarnation == mine.incarnation and seen.start != mine.start and (
-        seen.life >= mine.life or seen.writes > mine.born)
+    return (
+        seen.incarnation == mine.incarnation
+        and seen.start != mine.start
+        and (seen.life >= mine.life or seen.writes > mine.born)
+    )
--- a/linedeal/drmaa/__init__.py
+++ b/linedeal/drmaa/__init__.py
@@ -8,13 +8,44 @@
         print(job.wait_terminated().exit_status)
 """
 
-from linedeal.drmaa.errors import (DeniedByDrms, DrmaaError, DrmCommunication, Internal, InvalidArgument, InvalidSession,
-                                   InvalidState, Timeout, TryLater, UnsupportedAttribute, UnsupportedOperation)
+from linedeal.drmaa.errors import (
+    DeniedByDrms,
+    DrmaaError,
+    DrmCommunication,
+    Internal,
+    InvalidArgument,
+    InvalidSession,
+    InvalidState,
+    Timeout,
+    TryLater,
+    UnsupportedAttribute,
+    UnsupportedOperation,
+)
 from linedeal.drmaa.model import JobInfo, JobState, JobTemplate
 from linedeal.drmaa.session import AsyncJob, AsyncJobArray, AsyncJobSession, open_job_session
 from linedeal.drmaa.sync import Job, JobArray, JobSession, SessionManager
 
-__all__ = ["AsyncJob", "AsyncJobArray", "AsyncJobSession", "DeniedByDrms", "DrmCommunication", "DrmaaError", "Internal",
-           "InvalidArgument", "InvalidSession", "InvalidState", "Job", "JobArray", "JobInfo", "JobSession", "JobState",
-           "JobTemplate", "SessionManager", "Timeout", "TryLater", "UnsupportedAttribute", "UnsupportedOperation",
-           "open_job_session"]
+__all__ = [
+    "AsyncJob",
+    "AsyncJobArray",
+    "AsyncJobSession",
+    "DeniedByDrms",
+    "DrmCommunication",
+    "DrmaaError",
+    "Internal",
+    "InvalidArgument",
+    "InvalidSession",
+    "InvalidState",
+    "Job",
+    "JobArray",
+    "JobInfo",
+    "JobSession",
+    "JobState",
+    "JobTemplate",
+    "SessionManager",
+    "Timeout",
+    "TryLater",
+    "UnsupportedAttribute",
+    "UnsupportedOperation",
+    "open_job_session",
+]
--- a/linedeal/drmaa/agent.py
+++ b/linedeal/drmaa/agent.py
@@ -20,7 +20,7 @@
 from linedeal.drmaa.errors import V1, DrmaaError
 from linedeal.drmaa.session import open_job_session
 
-TEXTS_MOST, BYTES_MOST = 400_000, 32 << 20      # of one call: a bulk's ids, an argument list
+TEXTS_MOST, BYTES_MOST = 400_000, 32 << 20  # of one call: a bulk's ids, an argument list
 
 
 class BadCall(Exception):
@@ -50,7 +50,9 @@
         left -= length
         if left < 0:
             raise BadCall(f"more than {BYTES_MOST} bytes in one call")
-        texts.append((await reader.receive_exactly(length)).decode(errors="surrogateescape") if length else "")
+        texts.append(
+            (await reader.receive_exactly(length)).decode(errors="surrogateescape") if length else ""
+        )
     return texts
 
 
@@ -62,7 +64,7 @@
         if count < 0:
             scalars[name], at = texts[at + 2], at + 3
         else:
-            vectors[name], at = texts[at + 2:at + 2 + count], at + 2 + count
+            vectors[name], at = texts[at + 2 : at + 2 + count], at + 2 + count
     return scalars, vectors
 
 
@@ -102,8 +104,9 @@
             try:
                 call, *args = await unpack(stream)
             except (BadCall, ValueError, anyio.IncompleteRead, anyio.EndOfStream, anyio.BrokenResourceError):
-                return      # nobody is there to be told
+                return  # nobody is there to be told
             async with anyio.create_task_group() as tasks:
+
                 async def watch():
                     # a caller that is gone waits no more: a job that it would have reaped is left for another
                     try:
@@ -124,7 +127,7 @@
                     try:
                         await stream.send(pack(reply))
                     except (anyio.BrokenResourceError, anyio.ClosedResourceError):
-                        pass        # it has gone meanwhile
+                        pass  # it has gone meanwhile
                 tasks.cancel_scope.cancel()
 
 
--- a/linedeal/drmaa/build.py
+++ b/linedeal/drmaa/build.py
@@ -17,8 +17,14 @@
 
 def compiler() -> str:
     """The C compiler to use, by CC or the usual names; empty where there is none."""
-    return next((found for name in (os.environ.get("CC", ""), "cc", "gcc", "clang")
-                 if name and (found := shutil.which(name))), "")
+    return next(
+        (
+            found
+            for name in (os.environ.get("CC", ""), "cc", "gcc", "clang")
+            if name and (found := shutil.which(name))
+        ),
+        "",
+    )
 
 
 def usual_place() -> Path:
@@ -40,8 +46,20 @@
         # built beside and moved: two that build at once do not meet, and a half-written file is never loaded
         half = target.with_suffix(f".{os.getpid()}")
         done = subprocess.run(
-            [cc, *FLAGS, f'-DLINEDEAL_PYTHON="{sys.executable}"', "-I", str(SOURCE), str(SOURCE / "drmaa.c"), "-o",
-             str(half)], capture_output=True, text=True, timeout=120)
+            [
+                cc,
+                *FLAGS,
+                f'-DLINEDEAL_PYTHON="{sys.executable}"',
+                "-I",
+                str(SOURCE),
+                str(SOURCE / "drmaa.c"),
+                "-o",
+                str(half),
+            ],
+            capture_output=True,
+            text=True,
+            timeout=120,
+        )
         if done.returncode:
             raise BuildFault(f"{cc}: {(done.stderr.strip() or 'failed').splitlines()[0]}")
         half.replace(target)
--- a/linedeal/drmaa/model.py
+++ b/linedeal/drmaa/model.py
@@ -11,19 +11,30 @@
     QUEUED = "queued"
     QUEUED_HELD = "queued held"
     RUNNING = "running"
-    SUSPENDED = "suspended"             # never: hosts do not suspend
-    REQUEUED = "requeued"               # never: a job that is lost after its answer is not taken up again
-    REQUEUED_HELD = "requeued held"     # never
+    SUSPENDED = "suspended"  # never: hosts do not suspend
+    REQUEUED = "requeued"  # never: a job that is lost after its answer is not taken up again
+    REQUEUED_HELD = "requeued held"  # never
     DONE = "done"
     FAILED = "failed"
 
 
 # the state that a stage is shown as; docs/drmaa.md has the reasons
 STATES = {
-    "asked": JobState.QUEUED, "held": JobState.QUEUED_HELD, "later": JobState.QUEUED, "waiting": JobState.QUEUED,
-    "placed": JobState.QUEUED, "running": JobState.RUNNING, "done": JobState.DONE, "error": JobState.FAILED,
-    "lost": JobState.FAILED, "stopped": JobState.FAILED, "rejected": JobState.FAILED, "written off": JobState.FAILED,
-    "refused": JobState.FAILED, "unknown": JobState.UNDETERMINED}
+    "asked": JobState.QUEUED,
+    "held": JobState.QUEUED_HELD,
+    "later": JobState.QUEUED,
+    "waiting": JobState.QUEUED,
+    "placed": JobState.QUEUED,
+    "running": JobState.RUNNING,
+    "done": JobState.DONE,
+    "error": JobState.FAILED,
+    "lost": JobState.FAILED,
+    "stopped": JobState.FAILED,
+    "rejected": JobState.FAILED,
+    "written off": JobState.FAILED,
+    "refused": JobState.FAILED,
+    "unknown": JobState.UNDETERMINED,
+}
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,18 +84,18 @@
 
     job_id: str
     job_state: JobState
-    job_sub_state: str                  # the cluster's own word
-    exit_status: int | None             # None where it did not exit by itself
-    terminating_signal: str             # empty: hosts tell none
-    annotation: str                     # why, in plain words
+    job_sub_state: str  # the cluster's own word
+    exit_status: int | None  # None where it did not exit by itself
+    terminating_signal: str  # empty: hosts tell none
+    annotation: str  # why, in plain words
     allocated_machines: tuple[str, ...]
     job_owner: str
     slots: float
-    queue_name: str                     # the offering
+    queue_name: str  # the offering
     job_name: str
-    wallclock_time: float | None        # seconds
-    cpu_time: float | None              # core seconds
-    max_memory: float | None            # in the cluster's unit
+    wallclock_time: float | None  # seconds
+    cpu_time: float | None  # core seconds
+    max_memory: float | None  # in the cluster's unit
     submission_time: float | None
     dispatch_time: float | None
     finish_time: float | None
@@ -93,7 +104,21 @@
 def info_of(standing: Standing) -> JobInfo:
     ran = standing.ran
     return JobInfo(
-        standing.key, STATES[standing.stage], standing.stage, ran.status if ran else None, "", standing.reason,
-        (standing.host,) if standing.host else (), standing.customer, standing.cores, standing.offering, standing.name,
-        ran.seconds if ran else None, ran.core_seconds if ran else None, ran.memory if ran else None,
-        standing.taken_at, standing.placed_at, standing.ended_at)
+        standing.key,
+        STATES[standing.stage],
+        standing.stage,
+        ran.status if ran else None,
+        "",
+        standing.reason,
+        (standing.host,) if standing.host else (),
+        standing.customer,
+        standing.cores,
+        standing.offering,
+        standing.name,
+        ran.seconds if ran else None,
+        ran.core_seconds if ran else None,
+        ran.memory if ran else None,
+        standing.taken_at,
+        standing.placed_at,
+        standing.ended_at,
+    )
--- a/linedeal/drmaa/session.py
+++ b/linedeal/drmaa/session.py
@@ -22,7 +22,9 @@
     """The contact of a session; an empty text is the default one. Raises InvalidSession."""
     text = text or default_contact()
     if not text:
-        raise errors.InvalidSession("no contact, and LINEDEAL_CONTACT is not set", V1.NO_DEFAULT_CONTACT_STRING_SELECTED)
+        raise errors.InvalidSession(
+            "no contact, and LINEDEAL_CONTACT is not set", V1.NO_DEFAULT_CONTACT_STRING_SELECTED
+        )
     try:
         contact = parse_contact(text)
         if name:
@@ -33,8 +35,9 @@
 
 
 @asynccontextmanager
-async def open_job_session(contact: str = "", name: str = "", net: Net | None = None,
-                           token: str = "") -> AsyncIterator["AsyncJobSession"]:
+async def open_job_session(
+    contact: str = "", name: str = "", net: Net | None = None, token: str = ""
+) -> AsyncIterator["AsyncJobSession"]:
     """The session for the block; its jobs go on when it is left, and the same contact opens it again."""
     place = contact_of(contact, name)
     try:
@@ -72,19 +75,28 @@
         UnsupportedAttribute, DrmCommunication."""
         request = self.request(template)
         with submitting():
-            key = await self.owner.submit(request.ask, "", request.work, request.hold, request.start_in, within)
+            key = await self.owner.submit(
+                request.ask, "", request.work, request.hold, request.start_in, within
+            )
         return AsyncJob(self, key)
 
-    async def run_bulk_jobs(self, template: JobTemplate, begin: int, end: int, step: int = 1,
-                            within: float = 60.0) -> "AsyncJobArray":
+    async def run_bulk_jobs(
+        self, template: JobTemplate, begin: int, end: int, step: int = 1, within: float = 60.0
+    ) -> "AsyncJobArray":
         """One job an index, all taken or none left: those taken before a refusal are ended again."""
         numbers = translate.indices(begin, end, step)
         array = self.owner.new_key()
         requests = [self.request(template, index) for index in numbers]
         with submitting():
             keys = await self.owner.submit_many(
-                [(request.ask, f"{array}.{index}", request.work) for index, request in zip(numbers, requests)],
-                template.submit_as_hold, requests[0].start_in, within)
+                [
+                    (request.ask, f"{array}.{index}", request.work)
+                    for index, request in zip(numbers, requests)
+                ],
+                template.submit_as_hold,
+                requests[0].start_in,
+                within,
+            )
         return AsyncJobArray(self, array, tuple(AsyncJob(self, key) for key in keys))
 
     def request(self, template: JobTemplate, index: int = 0) -> translate.Request:
@@ -96,8 +108,11 @@
     def jobs(self, states: Iterable[JobState] | None = None) -> list["AsyncJob"]:
         """Those not reaped, in the order in which they were taken; of these states only, if given."""
         wanted = None if states is None else set(states)
-        return [AsyncJob(self, key) for key in self.owner.keys()
-                if wanted is None or STATES[self.owner.standing(key).stage] in wanted]
+        return [
+            AsyncJob(self, key)
+            for key in self.owner.keys()
+            if wanted is None or STATES[self.owner.standing(key).stage] in wanted
+        ]
 
     async def job(self, job_id: str) -> "AsyncJob":
         """Raises InvalidArgument where no controller knows it."""
@@ -117,7 +132,9 @@
     async def wait_any_terminated(self, jobs: Sequence["AsyncJob"], timeout: float = FOREVER) -> "AsyncJob":
         return AsyncJob(self, (await self.wait([job.job_id for job in jobs], terminated, timeout))[0].key)
 
-    async def wait_all_terminated(self, jobs: Sequence["AsyncJob"], timeout: float = FOREVER) -> list[JobInfo]:
+    async def wait_all_terminated(
+        self, jobs: Sequence["AsyncJob"], timeout: float = FOREVER
+    ) -> list[JobInfo]:
         found = await self.wait([job.job_id for job in jobs], terminated, timeout, every=True)
         return [info_of(standing) for standing in found]
 
--- a/linedeal/drmaa/sync.py
+++ b/linedeal/drmaa/sync.py
@@ -34,7 +34,7 @@
                 job.terminate()
                 job.wait_terminated()
             except errors.InvalidState:
-                pass        # it has ended
+                pass  # it has ended
             job.reap()
         session.close()
 
@@ -51,7 +51,8 @@
         try:
             self.portal = self.stack.enter_context(anyio.from_thread.start_blocking_portal("asyncio"))
             self.inner = self.stack.enter_context(
-                self.portal.wrap_async_context_manager(open_job_session(contact, token=token)))
+                self.portal.wrap_async_context_manager(open_job_session(contact, token=token))
+            )
         except BaseException:
             self.stack.close()
             raise
