--- a/linedeal/drmaa/v1.py
+++ b/linedeal/drmaa/v1.py
@@ -13,16 +13,38 @@
 ANY, ALL = "DRMAA_JOB_IDS_SESSION_ANY", "DRMAA_JOB_IDS_SESSION_ALL"
 SUSPEND, RESUME, HOLD, RELEASE, TERMINATE = range(5)
 QUEUED, USER_HELD, RUNNING, DONE, FAILED, UNDETERMINED = 0x10, 0x12, 0x20, 0x30, 0x40, 0x00
-PS = {"asked": QUEUED, "held": USER_HELD, "later": QUEUED, "waiting": QUEUED, "placed": QUEUED, "running": RUNNING,
-      "done": DONE, "unknown": UNDETERMINED}
+PS = {
+    "asked": QUEUED,
+    "held": USER_HELD,
+    "later": QUEUED,
+    "waiting": QUEUED,
+    "placed": QUEUED,
+    "running": RUNNING,
+    "done": DONE,
+    "unknown": UNDETERMINED,
+}
 # of the number that drmaa_wait gives: which questions it answers with yes, and in the low byte the exit status
 EXITED, ABORTED = 0x100, 0x400
 
-SCALARS = ("drmaa_remote_command", "drmaa_js_state", "drmaa_wd", "drmaa_job_category", "drmaa_native_specification",
-           "drmaa_block_email", "drmaa_start_time", "drmaa_job_name", "drmaa_input_path", "drmaa_output_path",
-           "drmaa_error_path", "drmaa_join_files", "drmaa_deadline_time")
+SCALARS = (
+    "drmaa_remote_command",
+    "drmaa_js_state",
+    "drmaa_wd",
+    "drmaa_job_category",
+    "drmaa_native_specification",
+    "drmaa_block_email",
+    "drmaa_start_time",
+    "drmaa_job_name",
+    "drmaa_input_path",
+    "drmaa_output_path",
+    "drmaa_error_path",
+    "drmaa_join_files",
+    "drmaa_deadline_time",
+)
 VECTORS = ("drmaa_v_argv", "drmaa_v_env", "drmaa_v_email")
-WHEN = re.compile(r"(?:(?:(?:(\d\d)?(\d\d)/)?(\d\d)/)?(\d\d) +)?(\d\d):(\d\d)(?::(\d\d))?(?: *([-+])(\d\d):(\d\d))?")
+WHEN = re.compile(
+    r"(?:(?:(?:(\d\d)?(\d\d)/)?(\d\d)/)?(\d\d) +)?(\d\d):(\d\d)(?::(\d\d))?(?: *([-+])(\d\d):(\d\d))?"
+)
 
 
 def moment(text: str, now: datetime) -> float:
@@ -37,8 +59,9 @@
     """
     match = WHEN.fullmatch(text.strip())
     if match is None:
-        raise errors.InvalidArgument(f"{text!r} is not [[[[CC]YY/]MM/]DD] hh:mm[:ss] [{{-|+}}UU:uu]",
-                                     V1.INVALID_ATTRIBUTE_FORMAT)
+        raise errors.InvalidArgument(
+            f"{text!r} is not [[[[CC]YY/]MM/]DD] hh:mm[:ss] [{{-|+}}UU:uu]", V1.INVALID_ATTRIBUTE_FORMAT
+        )
     century, year, month, day, hour, minute, second, sign, zone_hours, zone_minutes = match.groups()
     if sign:
         shift = timedelta(hours=int(zone_hours), minutes=int(zone_minutes))
@@ -77,7 +100,9 @@
     if not colon or not path:
         raise errors.InvalidArgument(f"{text!r} is not [host]:path", V1.INVALID_ATTRIBUTE_FORMAT)
     if host:
-        raise errors.InvalidArgument(f"{text!r}: a path on a named host is not supported", V1.INVALID_ATTRIBUTE_VALUE)
+        raise errors.InvalidArgument(
+            f"{text!r}: a path on a named host is not supported", V1.INVALID_ATTRIBUTE_VALUE
+        )
     return path
 
 
@@ -98,7 +123,9 @@
     elif name in ("drmaa_join_files", "drmaa_block_email"):
         flag(values[0])
     elif name == "drmaa_js_state" and values[0] not in ("drmaa_active", "drmaa_hold"):
-        raise errors.InvalidArgument(f"{values[0]!r} is neither drmaa_active nor drmaa_hold", V1.INVALID_ATTRIBUTE_VALUE)
+        raise errors.InvalidArgument(
+            f"{values[0]!r} is neither drmaa_active nor drmaa_hold", V1.INVALID_ATTRIBUTE_VALUE
+        )
     elif name == "drmaa_v_env" and not all(value.partition("=")[0] and "=" in value for value in values):
         raise errors.InvalidArgument("drmaa_v_env holds NAME=VALUE each", V1.INVALID_ATTRIBUTE_FORMAT)
 
@@ -115,15 +142,23 @@
 
     def when(text):
         return moment(text, now)
+
     return JobTemplate(
-        remote_command=get("drmaa_remote_command", usual=""), args=tuple(vectors.get("drmaa_v_argv", ())),
+        remote_command=get("drmaa_remote_command", usual=""),
+        args=tuple(vectors.get("drmaa_v_argv", ())),
         submit_as_hold=get("drmaa_js_state") == "drmaa_hold",
         job_environment=dict(value.split("=", 1) for value in vectors.get("drmaa_v_env", ())),
-        working_directory=get("drmaa_wd", usual=""), job_category=get("drmaa_job_category", usual=""),
-        job_name=get("drmaa_job_name", usual=""), input_path=get("drmaa_input_path", path_of, ""),
-        output_path=get("drmaa_output_path", path_of, ""), error_path=get("drmaa_error_path", path_of, ""),
-        join_files=get("drmaa_join_files", flag, False), start_time=get("drmaa_start_time", when),
-        deadline_time=get("drmaa_deadline_time", when), native=get("drmaa_native_specification", usual=""))
+        working_directory=get("drmaa_wd", usual=""),
+        job_category=get("drmaa_job_category", usual=""),
+        job_name=get("drmaa_job_name", usual=""),
+        input_path=get("drmaa_input_path", path_of, ""),
+        output_path=get("drmaa_output_path", path_of, ""),
+        error_path=get("drmaa_error_path", path_of, ""),
+        join_files=get("drmaa_join_files", flag, False),
+        start_time=get("drmaa_start_time", when),
+        deadline_time=get("drmaa_deadline_time", when),
+        native=get("drmaa_native_specification", usual=""),
+    )
 
 
 class V1Session:
@@ -142,8 +177,10 @@
     async def control(self, job_id: str, action: int) -> None:
         if action in (SUSPEND, RESUME):
             await self.one(job_id)
-            raise errors.InvalidState("hosts do not suspend jobs", V1.SUSPEND_INCONSISTENT_STATE if action == SUSPEND
-                                      else V1.RESUME_INCONSISTENT_STATE)
+            raise errors.InvalidState(
+                "hosts do not suspend jobs",
+                V1.SUSPEND_INCONSISTENT_STATE if action == SUSPEND else V1.RESUME_INCONSISTENT_STATE,
+            )
         calls = {HOLD: AsyncJob.hold, RELEASE: AsyncJob.release, TERMINATE: AsyncJob.terminate}
         if action not in calls:
             raise errors.InvalidArgument(f"no action {action}")
@@ -182,7 +219,7 @@
         try:
             await AsyncJob(self.session, key).reap()
         except errors.InvalidArgument:
-            pass        # another wait was faster
+            pass  # another wait was faster
 
 
 def status_of(standing) -> int:
@@ -197,11 +234,16 @@
     info = info_of(standing)
     figures = {"submission_time": info.submission_time, "end_time": info.finish_time}
     if standing.ran is not None:
-        figures |= {"start_time": (info.finish_time or 0) - info.wallclock_time, "wallclock": info.wallclock_time,
-                    "cpu": info.cpu_time, "maxmem": info.max_memory}
+        figures |= {
+            "start_time": (info.finish_time or 0) - info.wallclock_time,
+            "wallclock": info.wallclock_time,
+            "cpu": info.cpu_time,
+            "maxmem": info.max_memory,
+        }
     texts = {"host": standing.host, "outcome": standing.stage, "reason": standing.reason}
     return [f"{name}={value:.3f}" for name, value in figures.items() if value is not None] + [
-        f"{name}={value}" for name, value in texts.items() if value]
+        f"{name}={value}" for name, value in texts.items() if value
+    ]
 
 
 def here() -> datetime:
--- a/linedeal/duties/campaign.py
+++ b/linedeal/duties/campaign.py
@@ -15,11 +15,11 @@
 from linedeal.duties.duty import MOST_PROGRESS, Refusal
 from linedeal.settings.records import Bounds
 
-PLAN = "campaign/plan"      # the register that holds the plan, written by operators alone
-MOST_PLAN = 8192            # bytes of it: a register holds no more
-MOST_SAID = 200             # characters of why it stands
-RESUMES = 0.75              # of the share at which it pauses by itself: under that it goes on
-FEW = 10                    # launches, or jobs to be placed: shares of fewer tell nothing
+PLAN = "campaign/plan"  # the register that holds the plan, written by operators alone
+MOST_PLAN = 8192  # bytes of it: a register holds no more
+MOST_SAID = 200  # characters of why it stands
+RESUMES = 0.75  # of the share at which it pauses by itself: under that it goes on
+FEW = 10  # launches, or jobs to be placed: shares of fewer tell nothing
 
 
 class Mode(IntEnum):
@@ -31,16 +31,16 @@
 
 
 class Stage(IntEnum):
-    DRAINS = 1              # takes nothing new; its work goes on
-    REPLACES = 2            # by the tool; its successor is not warm yet
+    DRAINS = 1  # takes nothing new; its work goes on
+    REPLACES = 2  # by the tool; its successor is not warm yet
 
 
 class Want(IntEnum):
     """The operator's."""
 
     RUN = 1
-    PAUSE = 2               # begins no further host; those that are out are seen through
-    ABORT = 3               # the same, and then ends
+    PAUSE = 2  # begins no further host; those that are out are seen through
+    ABORT = 3  # the same, and then ends
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     """`fleet` has all hosts whose loss counts, with kind and cell, as they stood when the plan was made."""
 
     id: str
-    targets: tuple[str, ...]                    # in the order in which they are begun
+    targets: tuple[str, ...]  # in the order in which they are begun
     fleet: dict[str, tuple[str, int]]
     bounds: Bounds
     want: Want = Want.RUN
@@ -60,8 +60,8 @@
 
     host: str
     stage: Stage
-    boot: int               # that is drained and replaced
-    spent: float = 0.0      # seconds in this stage, as they were last written
+    boot: int  # that is drained and replaced
+    spent: float = 0.0  # seconds in this stage, as they were last written
 
 
 @dataclass(frozen=True, slots=True)
@@ -71,9 +71,9 @@
     id: str = ""
     out: tuple[Turn, ...] = ()
     done: tuple[int, ...] = ()
-    left: dict[int, str] = field(default_factory=dict)      # gone on without, and why
-    ended: str = ""         # done or aborted
-    stands: str = ""        # why no further host is begun, where none is
+    left: dict[int, str] = field(default_factory=dict)  # gone on without, and why
+    ended: str = ""  # done or aborted
+    stands: str = ""  # why no further host is begun, where none is
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,9 +106,9 @@
     silent: dict[str, float] = field(default_factory=dict)
     replaced: frozenset[tuple[str, int]] = frozenset()
     others: dict[str, int] = field(default_factory=dict)
-    absent: float = 0.0     # seconds for which nothing was out and no host could be begun as none was there
-    blind: str = ""         # why the view is too old to begin a host on
-    strained: str = ""      # why work is too strained for another host
+    absent: float = 0.0  # seconds for which nothing was out and no host could be begun as none was there
+    blind: str = ""  # why the view is too old to begin a host on
+    strained: str = ""  # why work is too strained for another host
 
     def gone(self, host: str) -> bool:
         return host not in self.seen or self.seen[host].mode is Mode.GONE
@@ -119,6 +119,7 @@
 
 # --- a plan
 
+
 def checked(plan: Plan, view: View) -> Plan:
     """Raises Refusal where it could never be carried out."""
     if not plan.targets:
@@ -128,12 +129,16 @@
     sizes = Counter(kind for kind, _ in plan.fleet.values())
     for kind in sorted({plan.fleet[host][0] for host in plan.targets}):
         if plan.bounds.room * sizes[kind] < 1:
-            raise Refusal(f"kind {kind}: one of its {sizes[kind]} hosts is {1 / sizes[kind]:.0%} of its room, "
-                          f"{plan.bounds.room:.0%} may be out at once")
+            raise Refusal(
+                f"kind {kind}: one of its {sizes[kind]} hosts is {1 / sizes[kind]:.0%} of its room, "
+                f"{plan.bounds.room:.0%} may be out at once"
+            )
     if plan.bounds.most < 1 or plan.bounds.cells < 1:
         raise Refusal("not one host may be out at once")
     if (size := len(encoded(plan))) > MOST_PLAN:
-        raise Refusal(f"the plan takes {size} bytes, a register holds {MOST_PLAN}: plan some zones or kinds at a time")
+        raise Refusal(
+            f"the plan takes {size} bytes, a register holds {MOST_PLAN}: plan some zones or kinds at a time"
+        )
     if (size := len(encoded(Progress(plan.id, (), tuple(range(len(plan.targets))))))) > MOST_PROGRESS - 2048:
         raise Refusal(f"its progress would take {size} bytes: plan some zones or kinds at a time")
     return plan
@@ -163,6 +168,7 @@
 
 # --- limits
 
+
 def out_of_service(plan: Plan, progress: Progress, view: View) -> set[str]:
     """Out by this campaign, and those that died, drain by another hand, or are listed no more."""
     return {turn.host for turn in progress.out} | {host for host in plan.fleet if not view.serves(host)}
@@ -171,7 +177,11 @@
 def hinders(plan: Plan, bounds: Bounds, view: View, out: set[str], host: str) -> str:
     """Why `host` may not go out beside `out`; empty where it may."""
     if not view.serves(host):
-        return "drains by another hand" if host in view.seen and view.seen[host].mode is Mode.DRAINS else "is not there"
+        return (
+            "drains by another hand"
+            if host in view.seen and view.seen[host].mode is Mode.DRAINS
+            else "is not there"
+        )
     after = out | {host}
     if len(after) > bounds.most:
         return f"{len(out)} out of service ({named(sorted(out))}), {bounds.most} may be"
@@ -187,6 +197,7 @@
 
 # --- the course of one host
 
+
 def moved(turn: Turn, bounds: Bounds, view: View) -> Turn | None:
     """The host's turn by what is known now; None: its successor serves and is warm."""
     seen, look = view.seen.get(turn.host), view.looks.get(turn.host)
@@ -200,17 +211,26 @@
             return None
         return turn
     if look is not None and look.boot != turn.boot:
-        return Turn(turn.host, Stage.DRAINS, look.boot)     # it died in its drain and came back: another life to drain
-    if look is not None and look.draining and not look.irreversible and (
-            not look.jobs or turn.spent >= bounds.patience):
+        return Turn(
+            turn.host, Stage.DRAINS, look.boot
+        )  # it died in its drain and came back: another life to drain
+    if (
+        look is not None
+        and look.draining
+        and not look.irreversible
+        and (not look.jobs or turn.spent >= bounds.patience)
+    ):
         return Turn(turn.host, Stage.REPLACES, turn.boot)
     if view.gone(turn.host) and view.silent.get(turn.host, 0.0) >= bounds.patience:
-        return Turn(turn.host, Stage.REPLACES, turn.boot)   # what ran there went with it, or would have been heard of
+        return Turn(
+            turn.host, Stage.REPLACES, turn.boot
+        )  # what ran there went with it, or would have been heard of
     return turn
 
 
 # --- the whole
 
+
 def decide(plan: Plan, progress: Progress, mine: Bounds, view: View) -> Progress:
     """The progress to be written before anything of it is ordered. `mine`: this owner's cluster file's bounds."""
     bounds = plan.bounds.within(mine)
@@ -222,12 +242,19 @@
     turns = [(turn, moved(turn, bounds, view)) for turn in progress.out]
     done = tuple(sorted({*progress.done, *(number[turn.host] for turn, after in turns if after is None)}))
     progress = replace(progress, out=tuple(after for _, after in turns if after is not None), done=done)
-    waiting = [host for host in plan.targets if number[host] not in done and number[host] not in progress.left
-               and host not in {turn.host for turn in progress.out}]
+    waiting = [
+        host
+        for host in plan.targets
+        if number[host] not in done
+        and number[host] not in progress.left
+        and host not in {turn.host for turn in progress.out}
+    ]
     if not progress.out and (not waiting or plan.want is Want.ABORT):
         return replace(progress, ended="aborted" if waiting else "done", stands="")
     if plan.want is not Want.RUN:
-        return replace(progress, stands="paused by the operator" if plan.want is Want.PAUSE else "being aborted")
+        return replace(
+            progress, stands="paused by the operator" if plan.want is Want.PAUSE else "being aborted"
+        )
     if view.blind or view.strained:
         return replace(progress, stands=(view.blind or view.strained)[:MOST_SAID])
     stands, begun = "", []
@@ -238,7 +265,12 @@
             begun.append(Turn(host, Stage.DRAINS, view.seen[host].boot))
         elif not stands or stands.endswith("is not there"):
             stands = f"{host} waits: {why}"
-    if not begun and not progress.out and all(not view.serves(host) for host in waiting) and view.absent >= bounds.away:
+    if (
+        not begun
+        and not progress.out
+        and all(not view.serves(host) for host in waiting)
+        and view.absent >= bounds.away
+    ):
         reasons = {number[host]: hinders(plan, bounds, view, set(), host) for host in waiting}
         return replace(progress, left={**progress.left, **reasons}, stands="")
     return replace(progress, out=(*progress.out, *begun), stands="" if begun else stands[:MOST_SAID])
@@ -270,8 +302,10 @@
     refused = after.sums.get("launches refused", 0) - before.sums.get("launches refused", 0)
     taken = after.sums.get("taken", 0) - before.sums.get("taken", 0)
     waiting, to_place = after.stands.get("waiting", 0), before.stands.get("waiting", 0) + taken
-    return [(refused / launches if launches >= FEW else 0.0, "of launches were turned away"),
-            (min(1.0, waiting / to_place) if to_place >= FEW else 0.0, "of the jobs to be placed still wait")]
+    return [
+        (refused / launches if launches >= FEW else 0.0, "of launches were turned away"),
+        (min(1.0, waiting / to_place) if to_place >= FEW else 0.0, "of the jobs to be placed still wait"),
+    ]
 
 
 def counted(plan: Plan, progress: Progress) -> str:
@@ -280,9 +314,12 @@
         return f"{plan.id}: not begun, {len(plan.targets)} hosts"
     out = ", ".join(f"{turn.host} {turn.stage.name.lower()}" for turn in progress.out)
     left = "; ".join(f"{plan.targets[place]} {why}" for place, why in sorted(progress.left.items()))
-    return (f"{plan.id}: {progress.ended or 'runs'}, {len(progress.done)} of {len(plan.targets)} hosts done"
-            + (f"; out: {out}" if out else "") + (f"; left out: {left}" if left else "")
-            + (f"; {progress.stands}" if progress.stands else ""))
+    return (
+        f"{plan.id}: {progress.ended or 'runs'}, {len(progress.done)} of {len(plan.targets)} hosts done"
+        + (f"; out: {out}" if out else "")
+        + (f"; left out: {left}" if left else "")
+        + (f"; {progress.stands}" if progress.stands else "")
+    )
 
 
 def named(hosts: list[str], most: int = 5) -> str:
--- a/linedeal/duties/campaigner.py
+++ b/linedeal/duties/campaigner.py
@@ -13,7 +13,7 @@
 from linedeal.duties.census import Census
 from linedeal.settings.records import Bounds
 
-KEEP_EVERY = 10.0           # seconds between two writes of how long each host has been out
+KEEP_EVERY = 10.0  # seconds between two writes of how long each host has been out
 
 
 class Kind(Enum):
@@ -46,10 +46,10 @@
 
     def __init__(self, progress: Progress, now: float, news: float = 15.0):
         self.news = news
-        self.stands = progress              # as it stands in the council
-        self.counted_from = now             # when `stands` was written: its hosts' times count from then
+        self.stands = progress  # as it stands in the council
+        self.counted_from = now  # when `stands` was written: its hosts' times count from then
         self.looks: dict[str, Look] = {}
-        self.heard: dict[str, float] = {}   # when each host that is out said something, or went out
+        self.heard: dict[str, float] = {}  # when each host that is out said something, or went out
         self.replaced: set[tuple[str, int]] = set()
         self.others: dict[str, int] = {}
         self.absent_since: float | None = None
@@ -57,14 +57,16 @@
         self.census: Census | None = None
         self.last_census: Census | None = None
         self.census_at = now
-        self.troubles: dict[str, str] = {}      # why the last order about a host was not carried out
+        self.troubles: dict[str, str] = {}  # why the last order about a host was not carried out
 
     def hear(self, census: Census, now: float) -> None:
         """A new one; two in a row of one owner show what went on between them."""
         if self.census is None or (census.token, census.number) > (self.census.token, self.census.number):
             self.last_census, self.census, self.census_at = self.census, census, now
 
-    def step(self, plan: Plan, mine: Bounds, seen: dict[str, Seen], list_age: float, now: float) -> Progress | None:
+    def step(
+        self, plan: Plan, mine: Bounds, seen: dict[str, Seen], list_age: float, now: float
+    ) -> Progress | None:
         """What is to be written before anything else; None where what stands is right still."""
         spent = now - self.counted_from
         progress = self.stands if self.stands.id == plan.id else Progress(plan.id)
@@ -82,15 +84,24 @@
         for kept in (self.looks, self.heard, self.others, self.troubles):
             for host in set(kept) - out:
                 del kept[host]
-        view = View(seen, dict(self.looks), {host: now - at for host, at in self.heard.items()},
-                    frozenset(self.replaced), dict(self.others))
+        view = View(
+            seen,
+            dict(self.looks),
+            {host: now - at for host, at in self.heard.items()},
+            frozenset(self.replaced),
+            dict(self.others),
+        )
         if not campaign.idle(plan, progress, view):
             self.absent_since = None
         elif self.absent_since is None:
             self.absent_since = now
         self.strained = self.strain(plan.bounds.within(mine).strain)
-        return replace(view, absent=0.0 if self.absent_since is None else now - self.absent_since,
-                       blind=self.blind(list_age, now), strained=self.strained)
+        return replace(
+            view,
+            absent=0.0 if self.absent_since is None else now - self.absent_since,
+            blind=self.blind(list_age, now),
+            strained=self.strained,
+        )
 
     def blind(self, list_age: float, now: float) -> str:
         if list_age > self.news:
--- a/linedeal/duties/census.py
+++ b/linedeal/duties/census.py
@@ -10,12 +10,12 @@
 
 from linedeal.duties.duty import Refusal
 
-RESULT = "census"           # the register that holds the last sum
-MOST_REPORTS = 900          # controllers whose last report a member keeps; all of them fit into one frame
-MOST_REPORT = 1024          # bytes of one
-FRESH = 10.0                # seconds for which a report counts; older: its controller is missing
-FORGET = 600.0              # seconds after which a controller that reports no more is no longer missed
-MOST_NAMED = 64             # missing controllers that are named, the rest are counted
+RESULT = "census"  # the register that holds the last sum
+MOST_REPORTS = 900  # controllers whose last report a member keeps; all of them fit into one frame
+MOST_REPORT = 1024  # bytes of one
+FRESH = 10.0  # seconds for which a report counts; older: its controller is missing
+FORGET = 600.0  # seconds after which a controller that reports no more is no longer missed
+MOST_NAMED = 64  # missing controllers that are named, the rest are counted
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,14 +24,14 @@
 
     controller: str
     life: int
-    sums: dict[str, float] = field(default_factory=dict)        # as `Engine.counts`
-    stands: dict[str, float] = field(default_factory=dict)      # held, waiting, hosts, links
+    sums: dict[str, float] = field(default_factory=dict)  # as `Engine.counts`
+    stands: dict[str, float] = field(default_factory=dict)  # held, waiting, hosts, links
 
 
 @dataclass(frozen=True, slots=True)
 class Kept:
     report: Report
-    age: float                  # seconds since the member heard it
+    age: float  # seconds since the member heard it
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
     """The sum. `age` is of the oldest report in it as it was made, seconds."""
 
     token: int
-    number: int                 # larger with each census under one token
+    number: int  # larger with each census under one token
     controllers: int
     missing: tuple[str, ...]
     missing_in_all: int
@@ -63,9 +63,16 @@
             best[kept.report.controller] = kept
     fresh = [kept for kept in best.values() if kept.age <= FRESH]
     missing = sorted(name for name, kept in best.items() if FRESH < kept.age <= FORGET)
-    return Census(token, number, len(fresh), tuple(missing[:MOST_NAMED]), len(missing),
-                  max((kept.age for kept in fresh), default=0.0),
-                  added(kept.report.sums for kept in fresh), added(kept.report.stands for kept in fresh))
+    return Census(
+        token,
+        number,
+        len(fresh),
+        tuple(missing[:MOST_NAMED]),
+        len(missing),
+        max((kept.age for kept in fresh), default=0.0),
+        added(kept.report.sums for kept in fresh),
+        added(kept.report.stands for kept in fresh),
+    )
 
 
 def added(figures) -> dict[str, float]:
@@ -85,7 +92,7 @@
     def put(self, report: Report, now: float) -> None:
         known = self.last.pop(report.controller, None)
         if known is not None and known[1].life > report.life:
-            self.last[report.controller] = known        # said by an earlier life, come late
+            self.last[report.controller] = known  # said by an earlier life, come late
             return
         self.last[report.controller] = now, report
         if len(self.last) > MOST_REPORTS:
--- a/linedeal/duties/duty.py
+++ b/linedeal/duties/duty.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-MOST_PROGRESS = 6144        # bytes; the rest of a register's value is the record around it
+MOST_PROGRESS = 6144  # bytes; the rest of a register's value is the record around it
 
 
 class Refusal(Exception):
@@ -16,12 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Duty:
-    owner: str = ""             # a controller's name and life; empty: nobody's
-    token: int = 0              # rises with each change of owner, and never falls
-    lease: float = 0.0          # seconds by the owner's clock from when it sent its last renewal
-    beat: int = 0               # renewals under this token
-    heir: str = ""              # whom it was handed to; others let it be for a lease
-    progress: bytes = b""       # the work's own account, kept from owner to owner
+    owner: str = ""  # a controller's name and life; empty: nobody's
+    token: int = 0  # rises with each change of owner, and never falls
+    lease: float = 0.0  # seconds by the owner's clock from when it sent its last renewal
+    beat: int = 0  # renewals under this token
+    heir: str = ""  # whom it was handed to; others let it be for a lease
+    progress: bytes = b""  # the work's own account, kept from owner to owner
 
 
 def acquired(duty: Duty, who: str, lease: float, over: bool) -> Duty:
@@ -30,7 +30,9 @@
     >>> acquired(Duty(), "n1", 5.0, over=False).token
     1
     """
-    if duty.owner not in ("", who) and not over:       # one that lost sight of its own lease begins with a new token
+    if (
+        duty.owner not in ("", who) and not over
+    ):  # one that lost sight of its own lease begins with a new token
         raise Refusal(f"{duty.owner} owns it, token {duty.token}")
     if duty.heir not in ("", who) and not over:
         raise Refusal(f"it was handed to {duty.heir}")
--- a/linedeal/duties/fence.py
+++ b/linedeal/duties/fence.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fence:
-    tokens: tuple[tuple[str, int], ...] = ()    # duty and the highest token seen, sorted
+    tokens: tuple[tuple[str, int], ...] = ()  # duty and the highest token seen, sorted
 
     def highest(self, duty: str) -> int:
         return dict(self.tokens).get(duty, 0)
--- a/linedeal/duties/holder.py
+++ b/linedeal/duties/holder.py
@@ -20,11 +20,11 @@
     """Seconds, by the controller's own clock."""
 
     lease: float = 6.0
-    drift: float = 0.05         # by which one clock may run faster or slower than true time
-    margin: float = 0.3         # beside that
-    renew: float = 1.5          # from one renewal to the next
-    watch: float = 1.0          # from one look to the next by who does not own it
-    answer: float = 1.0         # that the council has for an answer
+    drift: float = 0.05  # by which one clock may run faster or slower than true time
+    margin: float = 0.3  # beside that
+    renew: float = 1.5  # from one renewal to the next
+    watch: float = 1.0  # from one look to the next by who does not own it
+    answer: float = 1.0  # that the council has for an answer
 
     @property
     def acts(self) -> float:
@@ -74,20 +74,27 @@
 class Holder:
     """`who` is a name and life that no other process ever has; `wants`: it takes the duty over when it may."""
 
-    def __init__(self, duty: str, who: str, wants: bool, spread: Callable[[], float], now: float,
-                 timing: LeaseTiming = LeaseTiming()):
+    def __init__(
+        self,
+        duty: str,
+        who: str,
+        wants: bool,
+        spread: Callable[[], float],
+        now: float,
+        timing: LeaseTiming = LeaseTiming(),
+    ):
         self.name, self.who, self.wants, self.spread, self.timing = duty, who, wants, spread, timing
         self.stand = Stand.WATCHES
-        self.duty, self.version = Duty(), -1        # as last read; -1: not read yet
-        self.steady_since = 0.0                     # since when what was read did not change
+        self.duty, self.version = Duty(), -1  # as last read; -1: not read yet
+        self.steady_since = 0.0  # since when what was read did not change
         self.token = 0
         self.acts_until = float("-inf")
         self.renew_at = now
-        self.look_at = now + spread() * timing.watch        # many that start together do not look together
+        self.look_at = now + spread() * timing.watch  # many that start together do not look together
         self.pending: Pending | None = None
         self.reading: Ask | None = None
-        self.plan: bytes | None = None              # progress to be written next
-        self.leaving: str | None = None             # the heir, or empty for whoever comes
+        self.plan: bytes | None = None  # progress to be written next
+        self.leaving: str | None = None  # the heir, or empty for whoever comes
         self.asked = 0
         self.out: list = []
 
--- a/linedeal/engine/admission.py
+++ b/linedeal/engine/admission.py
@@ -1,13 +1,13 @@
 """Whose job or link is taken when what a controller may hold is nearly used up. Free of I/O and clock."""
 
-RESERVE = 8         # one part in so many of what may be held is for customers that hold less than an even share
+RESERVE = 8  # one part in so many of what may be held is for customers that hold less than an even share
 
 
 class Shares:
     """How much each customer has of one thing that is bounded for all: jobs that wait, links, bytes of the journal."""
 
     def __init__(self):
-        self.of: dict[str, int] = {}        # only of customers that have some
+        self.of: dict[str, int] = {}  # only of customers that have some
 
     def add(self, customer: str, amount: int) -> None:
         """`amount` below 0 gives back."""
--- a/linedeal/engine/asking.py
+++ b/linedeal/engine/asking.py
@@ -14,7 +14,7 @@
     """
 
     def __init__(self, pace: float, random: Random):
-        self.pace, self.random = pace, random       # hosts a second
+        self.pace, self.random = pace, random  # hosts a second
         self.waiting: list[str] = []
         self.due = 0.0
 
@@ -22,19 +22,21 @@
         """`first`: those that owners wait for are asked before the others."""
         self.waiting += hosts
         self.random.shuffle(self.waiting)
-        self.waiting.sort(key=lambda host: host in first)       # taken from the end
+        self.waiting.sort(key=lambda host: host in first)  # taken from the end
 
     def take(self, now: float) -> list[str]:
         """Those to ask now."""
         taken = []
-        self.due = max(self.due, now - 1.0)     # a stall is no licence for a burst of more than one second's worth
+        self.due = max(
+            self.due, now - 1.0
+        )  # a stall is no licence for a burst of more than one second's worth
         while self.waiting and self.due <= now:
             taken.append(self.waiting.pop())
             self.due += 1.0 / self.pace
         return taken
 
 
-RELINK, RELINK_MOST = 0.2, 5.0      # seconds before a link that broke is made again, first and at most
+RELINK, RELINK_MOST = 0.2, 5.0  # seconds before a link that broke is made again, first and at most
 
 
 def again_after(tries: int, random: Random) -> float:
--- a/linedeal/engine/effects.py
+++ b/linedeal/engine/effects.py
@@ -41,9 +41,9 @@
     host: str
     number: int
     job: Job
-    due: float                  # when it is given up
-    boot: int                   # of the host, as it was known when this was decided
-    keep: bool = False          # to be on disk before its first byte leaves
+    due: float  # when it is given up
+    boot: int  # of the host, as it was known when this was decided
+    keep: bool = False  # to be on disk before its first byte leaves
     work: bytes = b""
     leave_by: float = float("inf")  # its first byte leaves before then, or it does not leave
 
@@ -96,13 +96,13 @@
     key: str
     job: str
     session: str = ""
-    record: Job | None = None   # to be on disk before the client is told, where a session owns it
-    expires_in: float = 0.0     # seconds, from its release or start time where there is one
+    record: Job | None = None  # to be on disk before the client is told, where a session owns it
+    expires_in: float = 0.0  # seconds, from its release or start time where there is one
     work: bytes = b""
     follow: bool = False
     held: bool = False
     start_in: float = 0.0
-    promise: str = ""           # what its offering says of repeats
+    promise: str = ""  # what its offering says of repeats
 
 
 @dataclass(frozen=True, slots=True)
@@ -122,10 +122,10 @@
     job: str
     verdict: Verdict
     host: str = ""
-    keep: bool = False          # to be on disk before the client is told
+    keep: bool = False  # to be on disk before the client is told
     launch: LaunchId | None = None
     reason: str = ""
-    said: str = ""              # what the host gave with its yes
+    said: str = ""  # what the host gave with its yes
 
 
 @dataclass(frozen=True, slots=True)
--- a/linedeal/engine/engine.py
+++ b/linedeal/engine/engine.py
@@ -25,12 +25,12 @@
 from linedeal.policy import NEVER_RAN, Controller
 from linedeal.settings.records import Cluster
 
-STRAY_KEPT = 60.0       # seconds for which a launch that was given up is remembered, for a late yes
-STALL_SEEN = 0.25       # a timer this late tells that this process stood still, not that hosts were silent
-RETURN_MOST = 20        # jobs of an earlier life that go back to the module in one turn
-START_MOST = 366 * 86400.0      # seconds: what would begin later than that holds its place for nothing
-NAME_MOST = 200         # characters of an offering's, a customer's or a service's name
-BREATH = 0.05           # what came in meanwhile is read for so long before launches are given up
+STRAY_KEPT = 60.0  # seconds for which a launch that was given up is remembered, for a late yes
+STALL_SEEN = 0.25  # a timer this late tells that this process stood still, not that hosts were silent
+RETURN_MOST = 20  # jobs of an earlier life that go back to the module in one turn
+START_MOST = 366 * 86400.0  # seconds: what would begin later than that holds its place for nothing
+NAME_MOST = 200  # characters of an offering's, a customer's or a service's name
+BREATH = 0.05  # what came in meanwhile is read for so long before launches are given up
 
 
 class BrokenPromise(AssertionError):
@@ -41,15 +41,15 @@
 class Taken:
     """A job that is owed an answer."""
 
-    client: int                 # link of the client that waits; 0: it has gone, and its session may come back
+    client: int  # link of the client that waits; 0: it has gone, and its session may come back
     key: str
     job: api.Job
     session: str = ""
     work: bytes = b""
-    left: float = 0.0           # seconds to wait for a host, while it is held or its start time has not come
-    returning: bool = False     # on its way back to the module after a restart
-    risk: tuple[str, float] | None = None       # host and time of its first launch that may have run
-    promise: str = ""           # what its offering was when an earlier life took it
+    left: float = 0.0  # seconds to wait for a host, while it is held or its start time has not come
+    returning: bool = False  # on its way back to the module after a restart
+    risk: tuple[str, float] | None = None  # host and time of its first launch that may have run
+    promise: str = ""  # what its offering was when an earlier life took it
 
     @property
     def owner(self):
@@ -57,8 +57,16 @@
 
 
 class Engine:
-    def __init__(self, cluster: Cluster, name: str, life: int, seed: int, now: float, policy=Controller,
-                 accounts_given: bool = True):
+    def __init__(
+        self,
+        cluster: Cluster,
+        name: str,
+        life: int,
+        seed: int,
+        now: float,
+        policy=Controller,
+        accounts_given: bool = True,
+    ):
         """`accounts_given`: a link to a host begins with the host's word of all that it holds. Where it does not, nothing
         is asked after a start or a break, nothing that may have run is ever proven not to have, and a launch that is
         given up is given up at its host too: the end of the wait is the end of the launch."""
@@ -71,28 +79,40 @@
         self.arrived: deque = deque()
         self.out: list = []
         self.now = now
-        self.ready = False          # a list has been heard, so that jobs can be taken
-        self.leaving = False        # it ends soon and takes no more
+        self.ready = False  # a list has been heard, so that jobs can be taken
+        self.leaving = False  # it ends soon and takes no more
         self.taken: dict[str, Taken] = {}
-        self.holds = Shares()                                # how many of them each customer has
-        self.keys: dict[tuple[int | str, str], str] = {}     # by owner and key
+        self.holds = Shares()  # how many of them each customer has
+        self.keys: dict[tuple[int | str, str], str] = {}  # by owner and key
         self.sessions = Sessions(self)
-        self.full = False           # the journal has room for what is taken only
-        self.room = 0, 1 << 62      # bytes of the journal in use, and those at which it counts as full
-        self.pending: dict[str, recovery.OpenJob] = {}      # of an earlier life, not settled yet
-        self.pending_at: dict[str, list[str]] = {}          # ... by the hosts of their launches
-        self.returning: deque[str] = deque()                # go back to the module, some a turn
+        self.full = False  # the journal has room for what is taken only
+        self.room = 0, 1 << 62  # bytes of the journal in use, and those at which it counts as full
+        self.pending: dict[str, recovery.OpenJob] = {}  # of an earlier life, not settled yet
+        self.pending_at: dict[str, list[str]] = {}  # ... by the hosts of their launches
+        self.returning: deque[str] = deque()  # go back to the module, some a turn
         self.accounts: dict[str, recovery.Account] = {}
         self.begun = now
         self.clients: dict[int, set[str]] = {}  # jobs owed to each link
         self.launches: dict[on.LaunchId, Launch] = {}
-        self.by_job: dict[str, Launch] = {}     # the launch that the module has out, or placed
+        self.by_job: dict[str, Launch] = {}  # the launch that the module has out, or placed
         self.probes: dict[int, str] = {}
         self.numbers = self.jobs = self.probe_numbers = 0
-        self.counts = {"taken": 0, "placed": 0, "rejected": 0, "written off": 0, "turned away": 0, "launches": 0,
-                       "launches refused": 0, "late yes": 0, "for an unknown launch": 0, "proven not run": 0,
-                       "handed over": 0, "handed over on no host": 0, "handed over on a gone host": 0,
-                       "cut with a lost host": 0}
+        self.counts = {
+            "taken": 0,
+            "placed": 0,
+            "rejected": 0,
+            "written off": 0,
+            "turned away": 0,
+            "launches": 0,
+            "launches refused": 0,
+            "late yes": 0,
+            "for an unknown launch": 0,
+            "proven not run": 0,
+            "handed over": 0,
+            "handed over on no host": 0,
+            "handed over on a gone host": 0,
+            "cut with a lost host": 0,
+        }
 
     # -- the turn
 
@@ -134,7 +154,11 @@
         if late > STALL_SEEN:
             self.note("warning", "stood still", seconds=round(late, 3))
         for kind, key in list(self.timers.due(self.now)):
-            if late > STALL_SEEN and kind in ("launch", "probe") and not (kind == "launch" and self.answer_is_due(key)):
+            if (
+                late > STALL_SEEN
+                and kind in ("launch", "probe")
+                and not (kind == "launch" and self.answer_is_due(key))
+            ):
                 self.timers.arm(self.now + BREATH, kind + " at last", key)
             else:
                 RINGERS[kind](self, key)
@@ -183,8 +207,21 @@
         job = self.job_of(event, self.now + wait)
         self.own(Taken(event.client, event.key, job, event.session, event.work, wait))
         self.counts["taken"] += 1
-        self.out.append(do.Take(event.client, event.key, job.id, event.session, job if event.session else None, wait,
-                                event.work, event.follow, event.hold, event.start_in, promise))
+        self.out.append(
+            do.Take(
+                event.client,
+                event.key,
+                job.id,
+                event.session,
+                job if event.session else None,
+                wait,
+                event.work,
+                event.follow,
+                event.hold,
+                event.start_in,
+                promise,
+            )
+        )
         if event.session:
             entry = self.sessions.took(event, job, wait)
             self.sessions.tell(entry)
@@ -194,8 +231,15 @@
 
     def job_of(self, event: on.Submitted | on.Standing, expiry: float) -> api.Job:
         self.jobs += 1
-        return api.Job(f"{self.name}.{self.life}.{self.jobs}", event.offering, event.customer, event.service,
-                       event.cores, event.memory, expiry)
+        return api.Job(
+            f"{self.name}.{self.life}.{self.jobs}",
+            event.offering,
+            event.customer,
+            event.service,
+            event.cores,
+            event.memory,
+            expiry,
+        )
 
     def own(self, taken: Taken) -> None:
         if taken.job.id not in self.taken:
@@ -260,17 +304,23 @@
         if known:
             self.tell(api.Withdrawn(job_id))
         if launch is not None and not self.accounts_given:
-            self.over(launch, Result.STOPPED, api.Why.UNTOLD)   # given up at the host, which says no more of it
+            self.over(
+                launch, Result.STOPPED, api.Why.UNTOLD
+            )  # given up at the host, which says no more of it
 
     def client_left(self, event: on.ClientLeft) -> None:
-        for taken in sorted((self.taken[job] for job in self.clients.pop(event.client, ())), key=lambda taken: taken.key):
+        for taken in sorted(
+            (self.taken[job] for job in self.clients.pop(event.client, ())), key=lambda taken: taken.key
+        ):
             if taken.session:
-                taken.client = 0        # its session owns it: it goes on, and the answer is kept
+                taken.client = 0  # its session owns it: it goes on, and the answer is kept
             else:
                 self.taken_back(on.TakenBack(event.client, taken.key))
         self.sessions.left(event.client)
 
-    def answer(self, job_id: str, verdict: do.Verdict, host: str = "", launch: on.LaunchId | None = None) -> None:
+    def answer(
+        self, job_id: str, verdict: do.Verdict, host: str = "", launch: on.LaunchId | None = None
+    ) -> None:
         """The one way in which a job is answered: it is owed nothing from then on."""
         taken = self.disown(job_id)
         if taken is None:
@@ -280,8 +330,19 @@
         if entry is not None:
             self.sessions.answered(entry, verdict.value, host, launch, "")
         said = self.launches[launch].said if launch in self.launches else ""
-        self.out.append(do.Answer(taken.client, taken.key, job_id, verdict, host, entry is not None, launch,
-                                  entry.reason if entry else "", said))
+        self.out.append(
+            do.Answer(
+                taken.client,
+                taken.key,
+                job_id,
+                verdict,
+                host,
+                entry is not None,
+                launch,
+                entry.reason if entry else "",
+                said,
+            )
+        )
         if entry is not None:
             self.sessions.tell(entry)
 
@@ -294,15 +355,32 @@
         if record is None:
             raise BrokenPromise(f"a launch of {job_id} on {host}, which no list names")
         self.numbers += 1
-        launch = Launch(on.LaunchId(self.life, self.numbers), taken.job,
-                        self.cluster.settings.offerings[taken.job.offering].effect, host, self.now + wait,
-                        kept=bool(taken.session), sent=self.now, provable=self.accounts_given)
+        launch = Launch(
+            on.LaunchId(self.life, self.numbers),
+            taken.job,
+            self.cluster.settings.offerings[taken.job.offering].effect,
+            host,
+            self.now + wait,
+            kept=bool(taken.session),
+            sent=self.now,
+            provable=self.accounts_given,
+        )
         self.launches[launch.id] = self.by_job[job_id] = launch
         record.launches[launch.id] = launch
         self.counts["launches"] += 1
         self.timers.arm(launch.due, "launch", launch.id)
-        self.out.append(do.SendLaunch(host, launch.id.number, taken.job, launch.due, record.listed.boot,
-                                      launch.kept, taken.work, leave_by))
+        self.out.append(
+            do.SendLaunch(
+                host,
+                launch.id.number,
+                taken.job,
+                launch.due,
+                record.listed.boot,
+                launch.kept,
+                taken.work,
+                leave_by,
+            )
+        )
 
     def stop(self, launch: Launch) -> None:
         self.out.append(do.SendStop(launch.host, launch.id))
@@ -319,10 +397,10 @@
         launch = self.launches.get(launch_id)
         if launch is None or launch.state is not State.OUT:
             return
-        if not launch.left and not launch.unsend:   # the link says at once whether it could still be kept back
+        if not launch.left and not launch.unsend:  # the link says at once whether it could still be kept back
             launch.unsend = True
             self.out.append(do.Unsend(launch.host, launch_id.number))
-            if self.answer_is_due(launch_id):       # no byte of it had left as this turn began, and none will
+            if self.answer_is_due(launch_id):  # no byte of it had left as this turn began, and none will
                 self.kept_back((launch_id.number,), Result.UNSENT)
             else:
                 self.timers.arm(self.now + BREATH, "launch at last", launch_id)
@@ -401,13 +479,13 @@
             self.late_yes(launch)
             return
         if launch.state is not State.OUT:
-            return      # known already, or its host is about to hear that it is given up
+            return  # known already, or its host is about to hear that it is given up
         launch.state = State.HELD
         self.tell(api.Confirmed(launch.job.id, launch.id.number, launch.host))
         if launch.job.id in self.taken:
             self.answer(launch.job.id, do.Verdict.PLACED, launch.host, launch.id)
         elif not launch.wanted:
-            self.stop(launch)   # taken back while the yes was on its way
+            self.stop(launch)  # taken back while the yes was on its way
 
     def late_yes(self, launch: Launch) -> None:
         """After its time: believed only as a fact about the host, never as an answer."""
@@ -492,9 +570,16 @@
         job = self.job_of(event, self.now)
         record = self.fleet.hosts.get(event.host)
         self.numbers += 1
-        launch = Launch(on.LaunchId(self.life, self.numbers), job,
-                        self.cluster.settings.offerings[event.offering].effect, event.host, self.now, State.HELD,
-                        started=True, sent=self.now)
+        launch = Launch(
+            on.LaunchId(self.life, self.numbers),
+            job,
+            self.cluster.settings.offerings[event.offering].effect,
+            event.host,
+            self.now,
+            State.HELD,
+            started=True,
+            sent=self.now,
+        )
         self.out.append(do.Adopt(event.client, event.key, job.id, event.host, launch.id.number, event.work))
         if record is None or record.listed.mode is Mode.GONE:
             self.counts["handed over on no host" if record is None else "handed over on a gone host"] += 1
@@ -514,7 +599,8 @@
         record = self.fleet.hosts.get(event.host)
         if record is not None:
             self.counts["cut with a lost host"] += sum(
-                launch.state is State.HELD for launch in record.launches.values())
+                launch.state is State.HELD for launch in record.launches.values()
+            )
             self.cut_standing(record)
 
     def cut_standing(self, record: HostRecord, before: float = float("inf")) -> None:
@@ -553,7 +639,7 @@
         if record is None:
             return
         record.link, record.boot, record.asked, record.tries = event.link, event.boot, True, 0
-        if event.boot > record.listed.boot:     # it has started again and no list has said so yet: it is young
+        if event.boot > record.listed.boot:  # it has started again and no list has said so yet: it is young
             reborn = replace(record.listed, boot=event.boot, age=event.age, free_cores=None, free_memory=None)
             self.tell(api.HostsListed((self.fleet.hear(self.now, reborn),), False, remembered=True))
         held = {item.launch: item for item in event.held}
@@ -561,7 +647,7 @@
             self.accounts.setdefault(event.host, recovery.Account(event.boot, dict(held), event.forgot))
         for launch in list(record.launches.values()):
             if not launch.left and launch.id.life == self.life:
-                continue        # it waits to be sent on this very link
+                continue  # it waits to be sent on this very link
             item = held.pop(launch.id, None)
             finding = launches.found(launch, item, event.boot, event.forgot)
             if item is not None:
@@ -569,7 +655,7 @@
             launch.ran = item.ran if item is not None else None
             self.learn(launch, finding)
             if not launch.wanted and launch.state is State.HELD and launch.id in self.launches:
-                self.stop(launch)       # the order may have been lost with the link before
+                self.stop(launch)  # the order may have been lost with the link before
         for item in held.values():
             self.found(record, item)
         for job_id in self.pending_at.pop(event.host, ()):
@@ -597,20 +683,29 @@
         elif item.launch.life == self.life and offering and offering.effect is not Effect.IRREVERSIBLE:
             self.out.append(do.SendStop(host, item.launch))
         elif item.job.id in self.taken and item.job.id not in self.pending:
-            self.out.append(do.SendStop(host, item.launch))     # another course of it is under way
+            self.out.append(do.SendStop(host, item.launch))  # another course of it is under way
         elif item.job.id not in self.by_job:
             # guards against a configuration that lost an offering: what runs of it is left alone, and told of; the
             # module does not know it, and it can ask for no more of it
             effect = offering.effect if offering else Effect.IRREVERSIBLE
-            launch = Launch(item.launch, item.job, effect, host, self.now, State.HELD, record.link, record.boot,
-                            started=item.phase is on.Phase.RUNNING)
+            launch = Launch(
+                item.launch,
+                item.job,
+                effect,
+                host,
+                self.now,
+                State.HELD,
+                record.link,
+                record.boot,
+                started=item.phase is on.Phase.RUNNING,
+            )
             self.launches[launch.id] = self.by_job[item.job.id] = record.launches[launch.id] = launch
             if offering:
                 self.tell(api.JobFound(item.job, host))
             entry = self.sessions.ledger.by_job.get(item.job.id)
             if entry is not None and entry.ending:
                 launch.wanted = False
-                self.stop(launch)       # its owner ended it in an earlier life
+                self.stop(launch)  # its owner ended it in an earlier life
             if launch.started:
                 self.sessions.started(launch.job.id, launch.id)
 
@@ -630,14 +725,20 @@
                 if result:
                     self.give_up(launch, result)
         self.lose_gone()
-        if self.accounts_given and (record.launches or not record.asked):     # what the host holds has to be learned
+        if self.accounts_given and (
+            record.launches or not record.asked
+        ):  # what the host holds has to be learned
             record.tries += 1
             self.timers.arm(self.now + again_after(record.tries, self.random), "relink", event.host)
 
     def relink_due(self, host: str) -> None:
         record = self.fleet.hosts.get(host)
-        if record and not record.link and record.listed.mode is not Mode.GONE and (
-                record.launches or not record.asked):
+        if (
+            record
+            and not record.link
+            and record.listed.mode is not Mode.GONE
+            and (record.launches or not record.asked)
+        ):
             self.out.append(do.OpenLink(host))
 
     def unsent(self, event: on.Unsent) -> None:
@@ -659,30 +760,45 @@
         entries = tuple(self.heard(listed) for listed in event.hosts)
         self.out += [do.KnowHost(listed) for listed in event.hosts]
         if event.whole:
-            self.out += [do.KnowHost(record.listed)
-                         for record in self.fleet.missing({listed.id for listed in event.hosts})]
+            self.out += [
+                do.KnowHost(record.listed)
+                for record in self.fleet.missing({listed.id for listed in event.hosts})
+            ]
         self.tell(api.HostsListed(entries, event.whole, event.remembered))
         every = event.whole or event.remembered
         self.ready = self.ready or every
         self.lose_gone()
         if every and self.accounts_given:
-            self.settle_pending()       # hosts may be known, or gone, by now
-            self.asking.add([h.id for h in event.hosts if h.mode is not Mode.GONE
-                             and not self.fleet.hosts[h.id].asked and h.id not in self.asking.waiting],
-                            frozenset(self.pending_at))
+            self.settle_pending()  # hosts may be known, or gone, by now
+            self.asking.add(
+                [
+                    h.id
+                    for h in event.hosts
+                    if h.mode is not Mode.GONE
+                    and not self.fleet.hosts[h.id].asked
+                    and h.id not in self.asking.waiting
+                ],
+                frozenset(self.pending_at),
+            )
 
     def heard(self, listed: on.ListedHost) -> api.HostEntry:
         record = self.fleet.hosts.get(listed.id)
         reborn = record is not None and listed.boot > record.listed.boot
         entry = self.fleet.hear(self.now, listed)
-        if reborn and not self.accounts_given:    # no account will say that what stood before this start is lost
+        if (
+            reborn and not self.accounts_given
+        ):  # no account will say that what stood before this start is lost
             self.cut_standing(record, record.booted)
         return entry
 
     def lose_gone(self) -> None:
         """A host that is gone for good answers nothing more: what was held there is lost, and is told so."""
-        for host in [host for host in self.sessions.unaccounted if self.ready and (
-                host not in self.fleet.hosts or self.fleet.hosts[host].listed.mode is Mode.GONE)]:
+        for host in [
+            host
+            for host in self.sessions.unaccounted
+            if self.ready
+            and (host not in self.fleet.hosts or self.fleet.hosts[host].listed.mode is Mode.GONE)
+        ]:
             self.sessions.accounted(host)
         for record in [self.fleet.hosts[host] for host in sorted(self.fleet.gone)]:
             if not record.link:
@@ -695,17 +811,18 @@
 
     # -- what an earlier life left
 
-    def recover(self, left_open: tuple[recovery.OpenJob, ...], answers: tuple[recovery.KeptAnswer, ...]) -> None:
+    def recover(
+        self, left_open: tuple[recovery.OpenJob, ...], answers: tuple[recovery.KeptAnswer, ...]
+    ) -> None:
         """Before the first turn: jobs that this controller still owes an answer, and answers not confirmed."""
         for kept in answers:
             self.sessions.recover_answered(kept)
         for job in left_open:
             record = replace(job.job, expiry=self.now + job.expires_in)
-            self.own(Taken(0, job.key, record, job.session, job.work, job.expires_in,
-                           promise=job.promise))
+            self.own(Taken(0, job.key, record, job.session, job.work, job.expires_in, promise=job.promise))
             entry = self.sessions.recover_open(job, record)
             if entry.stage is not Stage.WAITING:
-                continue        # never launched, or every launch known not to have run: it could not be held else
+                continue  # never launched, or every launch known not to have run: it could not be held else
             self.pending[record.id] = job
             for host in {launch.host: None for launch in job.launches}:
                 self.pending_at.setdefault(host, []).append(record.id)
@@ -737,9 +854,14 @@
         offering = self.in_force(taken)
         lost = {launch.host for launch in job.launches if self.ready and launch.host not in self.fleet.hosts}
         step = recovery.next_step(
-            job, offering.effect if offering else Effect.IRREVERSIBLE, self.accounts, lost,
-            self.now >= self.begun + recovery.PATIENCE, self.now >= taken.job.expiry - recovery.SETTLE_BEFORE,
-            frozenset(launch.host for launch in job.launches if launch.host in self.fleet.hosts))
+            job,
+            offering.effect if offering else Effect.IRREVERSIBLE,
+            self.accounts,
+            lost,
+            self.now >= self.begun + recovery.PATIENCE,
+            self.now >= taken.job.expiry - recovery.SETTLE_BEFORE,
+            frozenset(launch.host for launch in job.launches if launch.host in self.fleet.hosts),
+        )
         if step is recovery.Step.WAIT or step is recovery.Step.AGAIN and (not self.ready or not offering):
             return
         del self.pending[job_id]
@@ -778,27 +900,51 @@
         """Only wakes the turn, which asks."""
 
 
-VERDICTS = {recovery.Step.PLACED: do.Verdict.PLACED, recovery.Step.REJECT: do.Verdict.REJECTED,
-            recovery.Step.WRITE_OFF: do.Verdict.WRITTEN_OFF}
+VERDICTS = {
+    recovery.Step.PLACED: do.Verdict.PLACED,
+    recovery.Step.REJECT: do.Verdict.REJECTED,
+    recovery.Step.WRITE_OFF: do.Verdict.WRITTEN_OFF,
+}
 HANDLERS = {
-    on.Submitted: Engine.submitted, on.TakenBack: Engine.taken_back, on.ClientLeft: Engine.client_left,
+    on.Submitted: Engine.submitted,
+    on.TakenBack: Engine.taken_back,
+    on.ClientLeft: Engine.client_left,
     on.AnswerSeen: lambda engine, event: engine.sessions.answer_seen(event),
     on.Ordered: lambda engine, event: engine.sessions.ordered(event),
     on.StandingAsked: lambda engine, event: engine.sessions.asked(event),
     on.Forgotten: lambda engine, event: engine.sessions.forgotten(event),
-    on.ListHeard: Engine.list_heard, on.ListFailed: Engine.list_failed,
-    on.Left: Engine.left, on.Unsent: Engine.unsent, on.GivenUp: Engine.given_up,
-    on.LinkUp: Engine.link_up, on.LinkDown: Engine.link_down, on.Fenced: Engine.fenced,
-    on.Accepted: Engine.accepted, on.Refused: Engine.refused, on.Started: Engine.started, on.Used: Engine.used,
-    on.Told: Engine.told, on.Standing: Engine.standing, on.PlacedEnded: Engine.placed_ended,
+    on.ListHeard: Engine.list_heard,
+    on.ListFailed: Engine.list_failed,
+    on.Left: Engine.left,
+    on.Unsent: Engine.unsent,
+    on.GivenUp: Engine.given_up,
+    on.LinkUp: Engine.link_up,
+    on.LinkDown: Engine.link_down,
+    on.Fenced: Engine.fenced,
+    on.Accepted: Engine.accepted,
+    on.Refused: Engine.refused,
+    on.Started: Engine.started,
+    on.Used: Engine.used,
+    on.Told: Engine.told,
+    on.Standing: Engine.standing,
+    on.PlacedEnded: Engine.placed_ended,
     on.HostLost: Engine.host_lost,
-    on.Served: Engine.served, on.Over: Engine.host_ended, on.Reported: Engine.reported,
+    on.Served: Engine.served,
+    on.Over: Engine.host_ended,
+    on.Reported: Engine.reported,
 }
 RINGERS = {
-    "module": Engine.module_due, "launch": Engine.launch_due, "stray": Engine.stray_due, "recalled": Engine.recalled_due,
+    "module": Engine.module_due,
+    "launch": Engine.launch_due,
+    "stray": Engine.stray_due,
+    "recalled": Engine.recalled_due,
     "probe": Engine.probe_due,
-    "launch at last": Engine.launch_due, "probe at last": Engine.probe_due, "asking": Engine.asking_due,
-    "relink": Engine.relink_due, "return": Engine.return_due, "settle": Engine.settle_due,
+    "launch at last": Engine.launch_due,
+    "probe at last": Engine.probe_due,
+    "asking": Engine.asking_due,
+    "relink": Engine.relink_due,
+    "return": Engine.return_due,
+    "settle": Engine.settle_due,
     "too many kept": lambda engine, _: engine.sessions.too_many_kept(),
     "forget": lambda engine, key: engine.sessions.forget_due(key),
     "later": lambda engine, job: engine.sessions.later_due(job),
--- a/linedeal/engine/events.py
+++ b/linedeal/engine/events.py
@@ -32,8 +32,8 @@
     zone: str
     cell: int
     mode: Mode
-    boot: int                   # another number after each start of the host
-    age: float                  # seconds since that start, when the list was sent
+    boot: int  # another number after each start of the host
+    age: float  # seconds since that start, when the list was sent
     free_cores: float | None
     free_memory: float | None
 
@@ -62,6 +62,7 @@
 
 # from discovery
 
+
 @dataclass(frozen=True, slots=True)
 class ListHeard:
     hosts: tuple[ListedHost, ...]
@@ -77,6 +78,7 @@
 
 # from clients; `client` is the number of a link
 
+
 @dataclass(frozen=True, slots=True)
 class Submitted:
     client: int
@@ -86,13 +88,13 @@
     service: str
     cores: float
     memory: float
-    wait: float                 # seconds; 0: as long as the offering allows
-    session: str = ""           # where not empty, the job belongs to it and not to the link
-    proven: str = ""            # the customer whose key this link has shown
-    work: bytes = b""           # for the host, carried as it is
-    follow: bool = False        # its owner wants to hear of its course after the answer
+    wait: float  # seconds; 0: as long as the offering allows
+    session: str = ""  # where not empty, the job belongs to it and not to the link
+    proven: str = ""  # the customer whose key this link has shown
+    work: bytes = b""  # for the host, carried as it is
+    follow: bool = False  # its owner wants to hear of its course after the answer
     hold: bool = False
-    start_in: float = 0.0       # seconds for which it is not looked at
+    start_in: float = 0.0  # seconds for which it is not looked at
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,7 +141,7 @@
     client: int
     session: str
     key: str
-    kind: object                # a control.OrderKind
+    kind: object  # a control.OrderKind
 
 
 @dataclass(frozen=True, slots=True)
@@ -167,6 +169,7 @@
 
 # from the link to a host
 
+
 @dataclass(frozen=True, slots=True)
 class Left:
     """Frames of these launches are about to be written: from here on they may reach the host."""
@@ -197,7 +200,7 @@
     host: str
     link: int
     boot: int
-    age: float = 0.0            # seconds since that boot
+    age: float = 0.0  # seconds since that boot
     held: tuple[Held, ...] = ()
     forgot: bool = False
 
--- a/linedeal/engine/fleet.py
+++ b/linedeal/engine/fleet.py
@@ -10,11 +10,11 @@
 @dataclass(slots=True, eq=False)
 class HostRecord:
     listed: ListedHost
-    booted: float               # on this controller's clock, as first reckoned for this boot
-    asked: bool = False         # it has told, in this life, what it holds
-    tries: int = 0              # links that failed or broke since one stood
-    link: int = 0               # of the link that stands; 0: none
-    boot: int = 0               # of the host at its other end
+    booted: float  # on this controller's clock, as first reckoned for this boot
+    asked: bool = False  # it has told, in this life, what it holds
+    tries: int = 0  # links that failed or broke since one stood
+    link: int = 0  # of the link that stands; 0: none
+    boot: int = 0  # of the host at its other end
     launches: dict[LaunchId, Launch] = field(default_factory=dict)
 
 
@@ -23,7 +23,9 @@
 
     def __init__(self):
         self.hosts: dict[str, HostRecord] = {}
-        self.gone: set[str] = set()     # of them; looked at in each turn, where all would cost more than the turn
+        self.gone: set[str] = (
+            set()
+        )  # of them; looked at in each turn, where all would cost more than the turn
 
     def hear(self, now: float, listed: ListedHost) -> HostEntry:
         """Takes one entry of a list; returns it as the module wants it.
@@ -36,12 +38,20 @@
             record = self.hosts[listed.id] = HostRecord(listed, now - listed.age)
         elif listed.boot > record.listed.boot:
             record.booted = max(now - listed.age, record.booted)
-        elif listed.boot < record.listed.boot:      # an old line that overtook a newer one tells nothing of boots
+        elif listed.boot < record.listed.boot:  # an old line that overtook a newer one tells nothing of boots
             listed = replace(listed, boot=record.listed.boot, age=record.listed.age)
         record.listed = listed
         (self.gone.add if listed.mode is Mode.GONE else self.gone.discard)(listed.id)
-        return HostEntry(listed.id, listed.kind, listed.zone, listed.cell, listed.mode, record.booted,
-                         listed.free_cores, listed.free_memory)
+        return HostEntry(
+            listed.id,
+            listed.kind,
+            listed.zone,
+            listed.cell,
+            listed.mode,
+            record.booted,
+            listed.free_cores,
+            listed.free_memory,
+        )
 
     def missing(self, named: set[str]) -> list[HostRecord]:
         """Those that a whole list no longer names, marked as gone."""
--- a/linedeal/engine/launches.py
+++ b/linedeal/engine/launches.py
@@ -23,18 +23,18 @@
     job: Job
     effect: Effect
     host: str
-    due: float                  # when it is given up without an answer
+    due: float  # when it is given up without an answer
     state: State = State.OUT
-    left: int = 0               # the link on which its frame left; 0: it has not
-    boot: int = 0               # of the host at the other end of that link
-    wanted: bool = True         # False once its client has taken the job back
+    left: int = 0  # the link on which its frame left; 0: it has not
+    boot: int = 0  # of the host at the other end of that link
+    wanted: bool = True  # False once its client has taken the job back
     started: bool = False
-    kept: bool = False          # it is in the journal
-    unsend: bool = False        # the link was asked to keep it back
-    sent: float = 0.0           # when it was decided on
-    ran: Ran | None = None      # what its host said at its end
-    provable: bool = True       # its host will give an account of what it holds
-    said: str = ""              # what its host gave with its yes
+    kept: bool = False  # it is in the journal
+    unsend: bool = False  # the link was asked to keep it back
+    sent: float = 0.0  # when it was decided on
+    ran: Ran | None = None  # what its host said at its end
+    provable: bool = True  # its host will give an account of what it holds
+    said: str = ""  # what its host gave with its yes
 
 
 @dataclass(frozen=True, slots=True)
--- a/linedeal/engine/ledger.py
+++ b/linedeal/engine/ledger.py
@@ -25,7 +25,7 @@
     WRITTEN_OFF = "written off"
 
 
-BEFORE = (Stage.HELD, Stage.LATER, Stage.WAITING)       # owed an answer
+BEFORE = (Stage.HELD, Stage.LATER, Stage.WAITING)  # owed an answer
 AT_HOST = (Stage.PLACED, Stage.RUNNING)
 ENDS = {Result.DONE: Stage.DONE, Result.ERROR: Stage.ERROR, Result.STOPPED: Stage.STOPPED}
 VERDICTS = {"placed": Stage.PLACED, "rejected": Stage.REJECTED, "written off": Stage.WRITTEN_OFF}
@@ -45,11 +45,11 @@
     placed_at: float | None = None
     ended_at: float | None = None
     host: str = ""
-    launch: LaunchId | None = None      # that was placed
+    launch: LaunchId | None = None  # that was placed
     reason: str = ""
     ran: Ran | None = None
-    ending: bool = False                # its owner wants it ended
-    timer: int = 0                      # of its hold's end or its start time
+    ending: bool = False  # its owner wants it ended
+    timer: int = 0  # of its hold's end or its start time
 
     @property
     def verdict(self) -> str:
@@ -96,7 +96,9 @@
             page.append(found[key])
         return page, False
 
-    def answered(self, entry: Entry, now: float, verdict: str, host: str, launch: LaunchId | None, reason: str) -> None:
+    def answered(
+        self, entry: Entry, now: float, verdict: str, host: str, launch: LaunchId | None, reason: str
+    ) -> None:
         entry.stage, entry.host, entry.launch = VERDICTS[verdict], host, launch
         entry.reason = entry.reason or reason
         if entry.stage is Stage.PLACED:
@@ -116,7 +118,9 @@
         entry.stage = Stage.RUNNING
         return entry
 
-    def ended(self, job: str, launch: LaunchId, now: float, result: Result, why: Why, ran: Ran | None) -> Entry | None:
+    def ended(
+        self, job: str, launch: LaunchId, now: float, result: Result, why: Why, ran: Ran | None
+    ) -> Entry | None:
         entry = self.of_launch(job, launch)
         if entry is None:
             return None
--- a/linedeal/engine/recovery.py
+++ b/linedeal/engine/recovery.py
@@ -10,8 +10,8 @@
 from linedeal.engine.events import Held, LaunchId, Phase, Ran
 from linedeal.interface import Effect, Job, Offering
 
-PATIENCE = 1.5          # seconds after a start for which a redoable job waits for its host's account
-SETTLE_BEFORE = 0.05    # seconds before its expiry at which a job that is still unclear is answered
+PATIENCE = 1.5  # seconds after a start for which a redoable job waits for its host's account
+SETTLE_BEFORE = 0.05  # seconds before its expiry at which a job that is still unclear is answered
 
 
 class Step(Enum):
@@ -27,8 +27,8 @@
     id: LaunchId
     host: str
     boot: int
-    void: bool = False          # the journal knows that it did not run
-    sent_ago: float = float("inf")      # seconds; infinity where clocks jumped and it is not known
+    void: bool = False  # the journal knows that it did not run
+    sent_ago: float = float("inf")  # seconds; infinity where clocks jumped and it is not known
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,14 +38,14 @@
     session: str
     key: str
     job: Job
-    expires_in: float           # seconds from the start of this life, or from its release; 0 where that has passed
+    expires_in: float  # seconds from the start of this life, or from its release; 0 where that has passed
     launches: tuple[OldLaunch, ...] = ()
     work: bytes = b""
     follow: bool = False
     held: bool = False
-    start_in: float = 0.0       # seconds
+    start_in: float = 0.0  # seconds
     taken_ago: float = 0.0
-    promise: str = ""           # what its offering was as it was taken; empty: not known, an older record
+    promise: str = ""  # what its offering was as it was taken; empty: not known, an older record
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     session: str
     key: str
     job: Job
-    stage: str                  # name of a ledger.Stage
+    stage: str  # name of a ledger.Stage
     host: str = ""
     launch: LaunchId | None = None
     reason: str = ""
@@ -109,8 +109,15 @@
     return next((launch for launch in job.launches if ran(launch, accounts) is not False), None)
 
 
-def next_step(job: OpenJob, effect: Effect, accounts: dict[str, Account], lost: set[str], patience_over: bool,
-              time_up: bool, listed: frozenset[str] = frozenset()) -> Step:
+def next_step(
+    job: OpenJob,
+    effect: Effect,
+    accounts: dict[str, Account],
+    lost: set[str],
+    patience_over: bool,
+    time_up: bool,
+    listed: frozenset[str] = frozenset(),
+) -> Step:
     """What to do with the job now. `lost`: hosts that are gone for good, whose account will never come;
     `listed`: hosts that the module knows; `patience_over`: what may run again waits for accounts no longer.
 
@@ -119,7 +126,9 @@
     """
     if placed_at(job, accounts):
         return Step.PLACED
-    fates = [True if launch.host in lost and not launch.void else ran(launch, accounts) for launch in job.launches]
+    fates = [
+        True if launch.host in lost and not launch.void else ran(launch, accounts) for launch in job.launches
+    ]
     harmless = effect is Effect.REDOABLE or not any(fate is not False for fate in fates)
     if time_up:
         return Step.REJECT if harmless else Step.WRITE_OFF
--- a/linedeal/engine/sessions.py
+++ b/linedeal/engine/sessions.py
@@ -11,20 +11,22 @@
 from linedeal.engine.control import Fault, Move
 from linedeal.engine.ledger import AT_HOST, Entry, Ledger, Stage
 
-RECORD = 300        # bytes that the journal takes for a job without work
-PAGE = 200          # jobs told in one go; the client asks for the next
-KEPT_MOST = 100_000     # jobs kept after their end for owners that do not come; then the oldest go
+RECORD = 300  # bytes that the journal takes for a job without work
+PAGE = 200  # jobs told in one go; the client asks for the next
+KEPT_MOST = 100_000  # jobs kept after their end for owners that do not come; then the oldest go
 
 
 class Sessions:
     def __init__(self, engine):
         self.engine = engine
         self.ledger = Ledger()
-        self.bytes = Shares()                   # of each customer's jobs in the journal, roughly
-        self.followers: dict[str, dict[int, None]] = {}         # links that are told of each change, by session
-        self.unaccounted: dict[str, list[Entry]] = {}           # placed by an earlier life, by host
-        self.over: dict[str, dict[tuple[str, str], None]] = {}  # kept after their end, by customer, oldest first
-        self.kept = 0                                           # how many these are
+        self.bytes = Shares()  # of each customer's jobs in the journal, roughly
+        self.followers: dict[str, dict[int, None]] = {}  # links that are told of each change, by session
+        self.unaccounted: dict[str, list[Entry]] = {}  # placed by an earlier life, by host
+        self.over: dict[
+            str, dict[tuple[str, str], None]
+        ] = {}  # kept after their end, by customer, oldest first
+        self.kept = 0  # how many these are
 
     # -- taking
 
@@ -35,7 +37,13 @@
             return False
         job = entry.job
         if (job.offering, job.customer, job.service, job.cores, job.memory, entry.work) != (
-                event.offering, event.customer, event.service, event.cores, event.memory, event.work):
+            event.offering,
+            event.customer,
+            event.service,
+            event.cores,
+            event.memory,
+            event.work,
+        ):
             engine.counts["turned away"] += 1
             engine.out.append(do.TurnAway(event.client, event.key, "this key names another job", 0.0))
             return True
@@ -44,7 +52,9 @@
             self.follow(event.session, event.client)
             self.tell_one(event.client, entry)
         if entry.verdict:
-            engine.out.append(do.Answer(event.client, event.key, job.id, do.Verdict(entry.verdict), entry.host))
+            engine.out.append(
+                do.Answer(event.client, event.key, job.id, do.Verdict(entry.verdict), entry.host)
+            )
         else:
             taken = engine.taken[job.id]
             engine.clients.get(taken.client, set()).discard(job.id)
@@ -71,7 +81,9 @@
         if entry.stage is Stage.LATER:
             entry.timer = engine.timers.arm(engine.now + start_in, "later", entry.job.id)
         else:
-            entry.timer = engine.timers.arm(engine.now + engine.cluster.limits.hold, "held too long", entry.job.id)
+            entry.timer = engine.timers.arm(
+                engine.now + engine.cluster.limits.hold, "held too long", entry.job.id
+            )
 
     def unmind(self, entry: Entry) -> None:
         """Its hold or its wait for a start time has ended: one timer a job, however often it is held and released."""
@@ -82,7 +94,7 @@
     def go_on(self, entry: Entry) -> None:
         """Back to the module, with the time that was left."""
         engine, taken = self.engine, self.engine.taken[entry.job.id]
-        if engine.in_force(taken) is None:      # held over a restart, and nothing of it can have run
+        if engine.in_force(taken) is None:  # held over a restart, and nothing of it can have run
             entry.reason = f"offering {entry.job.offering} is gone or has changed"
             engine.answer(entry.job.id, do.Verdict.REJECTED)
             return
@@ -116,9 +128,16 @@
         taken, launch = engine.taken.get(entry.job.id), engine.by_job.get(entry.job.id)
         offering = engine.in_force(taken) if taken else None
         earlier = engine.pending.get(entry.job.id)
-        may_have_run = bool(taken and taken.risk) or bool(earlier and any(not old.void for old in earlier.launches))
-        ruling = control.rule(event.kind, entry, launch is not None, may_have_run,
-                              offering.effect if offering else api.Effect.IRREVERSIBLE)
+        may_have_run = bool(taken and taken.risk) or bool(
+            earlier and any(not old.void for old in earlier.launches)
+        )
+        ruling = control.rule(
+            event.kind,
+            entry,
+            launch is not None,
+            may_have_run,
+            offering.effect if offering else api.Effect.IRREVERSIBLE,
+        )
         if ruling.move is Move.REFUSE:
             engine.out.append(do.Reply(event.client, event.key, event.kind, Fault.WRONG_STATE, ruling.reason))
             return
@@ -167,7 +186,9 @@
 
     # -- its course
 
-    def answered(self, entry: Entry, verdict: str, host: str, launch: on.LaunchId | None, reason: str) -> None:
+    def answered(
+        self, entry: Entry, verdict: str, host: str, launch: on.LaunchId | None, reason: str
+    ) -> None:
         self.unmind(entry)
         self.ledger.answered(entry, self.engine.now, verdict, host, launch, reason)
         if not entry.follow or entry.over:
@@ -186,8 +207,16 @@
 
     def keep_course(self, entry: Entry) -> None:
         if entry.follow:
-            self.engine.out.append(do.KeepCourse(entry.job.id, entry.stage.name, entry.reason, entry.ran,
-                                                 over=entry.over, ending=entry.ending))
+            self.engine.out.append(
+                do.KeepCourse(
+                    entry.job.id,
+                    entry.stage.name,
+                    entry.reason,
+                    entry.ran,
+                    over=entry.over,
+                    ending=entry.ending,
+                )
+            )
             self.tell(entry)
 
     def accounted(self, host: str) -> None:
@@ -216,9 +245,23 @@
     def tell_one(self, client: int, entry: Entry) -> None:
         def ago(then):
             return -1.0 if then is None else max(0.0, self.engine.now - then)
-        self.engine.out.append(do.Standing(
-            client, entry.key, entry.job, entry.work, entry.stage, entry.host, entry.reason, entry.ran,
-            ago(entry.taken_at), ago(entry.placed_at), ago(entry.ended_at), entry.ending))
+
+        self.engine.out.append(
+            do.Standing(
+                client,
+                entry.key,
+                entry.job,
+                entry.work,
+                entry.stage,
+                entry.host,
+                entry.reason,
+                entry.ran,
+                ago(entry.taken_at),
+                ago(entry.placed_at),
+                ago(entry.ended_at),
+                entry.ending,
+            )
+        )
 
     def asked(self, event: on.StandingAsked) -> None:
         if event.key:
@@ -252,7 +295,7 @@
             return
         since = entry.ended_at if entry.follow else entry.ended_at or entry.placed_at
         if self.engine.now >= since + self.engine.cluster.journal.answers_kept - 1e-6:
-            self.forget(entry)      # else the key names a newer job, which has a timer of its own
+            self.forget(entry)  # else the key names a newer job, which has a timer of its own
 
     def add(self, entry: Entry) -> None:
         self.ledger.add(entry)
@@ -276,7 +319,7 @@
         self.kept += key not in mine
         mine[key] = None
         engine.timers.arm(engine.now + max(0.0, engine.cluster.journal.answers_kept - passed), "forget", key)
-        if self.kept == KEPT_MOST + 1:      # in a turn, which writes to the journal what it forgets
+        if self.kept == KEPT_MOST + 1:  # in a turn, which writes to the journal what it forgets
             engine.timers.arm(engine.now, "too many kept", "")
 
     def too_many_kept(self) -> None:
@@ -289,7 +332,9 @@
 
     def recover_open(self, job: recovery.OpenJob, record: api.Job) -> Entry:
         stage = Stage.HELD if job.held else Stage.LATER if job.start_in else Stage.WAITING
-        entry = Entry(job.session, job.key, record, job.work, job.follow, stage, self.engine.now - job.taken_ago)
+        entry = Entry(
+            job.session, job.key, record, job.work, job.follow, stage, self.engine.now - job.taken_ago
+        )
         self.add(entry)
         if stage is not Stage.WAITING:
             self.set_aside(entry, job.expires_in, job.start_in)
@@ -297,12 +342,26 @@
 
     def recover_answered(self, kept: recovery.KeptAnswer) -> None:
         now = self.engine.now
-        entry = Entry(kept.session, kept.key, kept.job, kept.work, kept.follow, Stage[kept.stage], now - kept.taken_ago,
-                      now - kept.placed_ago if kept.placed_ago is not None else None,
-                      now - kept.ended_ago if kept.ended_ago is not None else None,
-                      kept.host, kept.launch, kept.reason, kept.ran, kept.ending)
+        entry = Entry(
+            kept.session,
+            kept.key,
+            kept.job,
+            kept.work,
+            kept.follow,
+            Stage[kept.stage],
+            now - kept.taken_ago,
+            now - kept.placed_ago if kept.placed_ago is not None else None,
+            now - kept.ended_ago if kept.ended_ago is not None else None,
+            kept.host,
+            kept.launch,
+            kept.reason,
+            kept.ran,
+            kept.ending,
+        )
         self.add(entry)
         if entry.stage in AT_HOST and entry.follow:
             self.unaccounted.setdefault(entry.host, []).append(entry)
         else:
-            self.keep_for_a_while(entry, kept.ended_ago if kept.ended_ago is not None else kept.placed_ago or 0.0)
+            self.keep_for_a_while(
+                entry, kept.ended_ago if kept.ended_ago is not None else kept.placed_ago or 0.0
+            )
--- a/linedeal/engine/timers.py
+++ b/linedeal/engine/timers.py
@@ -3,7 +3,7 @@
 import heapq
 from typing import Iterator
 
-SWEEP = 1000        # cancelled timers that may stay in the heap at least
+SWEEP = 1000  # cancelled timers that may stay in the heap at least
 
 
 class Timers:
--- a/linedeal/fleet/apart.py
+++ b/linedeal/fleet/apart.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-ANEW = (1.0, 60.0)      # seconds after a fault until it is begun anew, doubled from the first to the second
+ANEW = (1.0, 60.0)  # seconds after a fault until it is begun anew, doubled from the first to the second
 
 
 async def run_apart(where: str, work: Callable[[], Awaitable[None]], log) -> None:
--- a/linedeal/fleet/asker.py
+++ b/linedeal/fleet/asker.py
@@ -12,10 +12,10 @@
 from linedeal.protocol import VERSION, encode, pb
 from linedeal.settings.records import CouncilSettings
 
-CONNECT = 0.5           # seconds for a link to a member
-SLICE = 0.7             # seconds that one member has before the next is asked too
-PAUSE = 0.05            # seconds from one that did not answer to the next
-NO_ANSWER = (Outcome.BUSY, Outcome.UNREADY, Outcome.UNKNOWN)        # another member may have one
+CONNECT = 0.5  # seconds for a link to a member
+SLICE = 0.7  # seconds that one member has before the next is asked too
+PAUSE = 0.05  # seconds from one that did not answer to the next
+NO_ANSWER = (Outcome.BUSY, Outcome.UNREADY, Outcome.UNKNOWN)  # another member may have one
 
 
 class CouncilFault(Exception):
@@ -26,19 +26,23 @@
 class Told:
     outcome: Outcome
     value: Value
-    by: str                     # the member that answered; empty: none did
-    silent: tuple[str, ...] = ()    # members that were asked and said nothing, with why
+    by: str  # the member that answered; empty: none did
+    silent: tuple[str, ...] = ()  # members that were asked and said nothing, with why
 
 
 class Asker:
     """Use as an async context manager inside a task group's life. One link a member, made when it is needed."""
 
-    def __init__(self, settings: CouncilSettings, name: str, token: str, net: Net, spread: Callable[[], float]):
+    def __init__(
+        self, settings: CouncilSettings, name: str, token: str, net: Net, spread: Callable[[], float]
+    ):
         self.settings, self.name, self.net = settings, name, net
         # askers spread over the members; a member asks itself last, so that what it reported is known when it is gone
         self.own = name.partition("/")[0]
         self.order = sorted(settings.places, key=lambda member: (member == self.own, spread()))
-        self.hello = encode(pb.Hello(version=VERSION, role=pb.CONTROLLER, name=name, session=settings.id, token=token))
+        self.hello = encode(
+            pb.Hello(version=VERSION, role=pb.CONTROLLER, name=name, session=settings.id, token=token)
+        )
         self.links: dict[str, MemberLink] = {}
         self.numbers = itertools.count(1)
 
@@ -52,7 +56,7 @@
         try:
             return await self.tasks.__aexit__(*error)
         except BaseExceptionGroup as group:
-            if group.exceptions == (error[1],):     # the body's own: whoever called it knows that one
+            if group.exceptions == (error[1],):  # the body's own: whoever called it knows that one
                 raise error[1] from None
             raise
 
@@ -61,13 +65,15 @@
 
     async def change(self, key: str, change: Change, within: float) -> Told:
         """UNKNOWN: it may or may not have been made; ask the same again."""
-        return await self.ask(pb.CouncilAsk(kind=pb.CHANGE, key=key, id=change.id, expect=change.expect,
-                                            body=change.body), within)
+        return await self.ask(
+            pb.CouncilAsk(kind=pb.CHANGE, key=key, id=change.id, expect=change.expect, body=change.body),
+            within,
+        )
 
     async def ask(self, said: pb.CouncilAsk, within: float) -> Told:
         """From the member that answered last on; raises CouncilFault."""
         until = anyio.current_time() + within
-        silent: dict[str, str] = {}     # why each that was asked has no answer, last heard last
+        silent: dict[str, str] = {}  # why each that was asked has no answer, last heard last
         for member in itertools.cycle(tuple(self.order)):
             left = until - anyio.current_time()
             if left <= 0:
@@ -82,7 +88,7 @@
             except LinkLost as error:
                 silent[member] = str(error)
             await anyio.sleep(min(PAUSE, left))
-        if self.order[0] != member and member != self.own:      # itself stays last, also where it alone was up
+        if self.order[0] != member and member != self.own:  # itself stays last, also where it alone was up
             self.order.remove(member)
             self.order.insert(0, member)
         return Told(outcome, Value(told.version, told.body), member, lines(silent))
@@ -121,7 +127,7 @@
     def __init__(self):
         self.lost = ""
         self.link = None
-        self.writing = anyio.Lock()     # one frame at a time: several duties ask at once
+        self.writing = anyio.Lock()  # one frame at a time: several duties ask at once
         self.ready, self.ended = anyio.Event(), anyio.Event()
         self.waiting: dict[int, tuple[anyio.Event, list]] = {}
 
--- a/linedeal/fleet/codec.py
+++ b/linedeal/fleet/codec.py
@@ -6,12 +6,39 @@
 from linedeal.council.records import Identity, Mark, Packet, Roster, Slot
 from linedeal.net import FrameError
 
-KINDS = {kind.__name__: kind for kind in (
-    said.Look, said.Looked, said.Prepare, said.Promised, said.Accept, said.Accepted, said.Outbid, said.Seal,
-    said.Sealed, said.Install, said.Installed, said.Pulse, said.Older, said.Elsewhere, said.Found, said.Agreed)}
+KINDS = {
+    kind.__name__: kind
+    for kind in (
+        said.Look,
+        said.Looked,
+        said.Prepare,
+        said.Promised,
+        said.Accept,
+        said.Accepted,
+        said.Outbid,
+        said.Seal,
+        said.Sealed,
+        said.Install,
+        said.Installed,
+        said.Pulse,
+        said.Older,
+        said.Elsewhere,
+        said.Found,
+        said.Agreed,
+    )
+}
 Form = tuple[str, Mark, int, str, msgspec.Raw]
-KEPT = {"life": int, "writes": int, "retired": str, "roster": Roster, "sealed": Roster | None, "agreed": Roster,
-        "seen": tuple[Mark, ...], "identity": Identity, "cluster": str}
+KEPT = {
+    "life": int,
+    "writes": int,
+    "retired": str,
+    "roster": Roster,
+    "sealed": Roster | None,
+    "agreed": Roster,
+    "seen": tuple[Mark, ...],
+    "identity": Identity,
+    "cluster": str,
+}
 
 
 def packed(packet: Packet) -> bytes:
@@ -20,7 +47,9 @@
     >>> unpacked(packed(packet)) == packet
     True
     """
-    return msgspec.msgpack.encode((packet.cluster, packet.mark, packet.epoch, type(packet.said).__name__, packet.said))
+    return msgspec.msgpack.encode(
+        (packet.cluster, packet.mark, packet.epoch, type(packet.said).__name__, packet.said)
+    )
 
 
 def unpacked(data: bytes) -> Packet:
--- a/linedeal/fleet/disk.py
+++ b/linedeal/fleet/disk.py
@@ -48,8 +48,10 @@
             self.kept |= {"identity": Identity(name, incarnation), "cluster": cluster}
         identity = self.kept["identity"]
         if (identity.name, self.kept["cluster"]) != (name, cluster):
-            raise StoreFault(f"{self.path}: is {identity.name}'s of council {self.kept['cluster']}, "
-                             f"not {name}'s of {cluster}")
+            raise StoreFault(
+                f"{self.path}: is {identity.name}'s of council {self.kept['cluster']}, "
+                f"not {name}'s of {cluster}"
+            )
         return identity
 
     def write(self, keeps: list[Keep]) -> None:
@@ -59,7 +61,8 @@
             for keep in keeps:
                 self.db.executemany(
                     "INSERT INTO council VALUES (?, ?) ON CONFLICT (name) DO UPDATE SET value = excluded.value",
-                    [(name, codec.kept(value)) for name, value in keep.records])
+                    [(name, codec.kept(value)) for name, value in keep.records],
+                )
             self.db.execute("COMMIT")
         except sqlite3.Error as error:
             if self.db.in_transaction:
--- a/linedeal/fleet/hall.py
+++ b/linedeal/fleet/hall.py
@@ -11,10 +11,10 @@
 from linedeal.settings.keys import council_refuses
 from linedeal.settings.records import CouncilSettings
 
-LINKS = 600             # at once
-HELLO = 5.0             # seconds within which a new link says who it is
-IDLE = 120.0            # seconds without a word from an asker
-ANSWERS = 256           # that wait to be read by one asker
+LINKS = 600  # at once
+HELLO = 5.0  # seconds within which a new link says who it is
+IDLE = 120.0  # seconds without a word from an asker
+ANSWERS = 256  # that wait to be read by one asker
 
 
 @dataclass(slots=True, eq=False)
@@ -70,7 +70,9 @@
                     raise LinkLost(f"{type(hello).__name__} in place of a hello")
                 if why := council_refuses(self.settings, hello.session, hello.token):
                     await self.refuse(link, why)
-                await link.send(encode(pb.Welcome(version=min(hello.version, VERSION), name=self.name)), HELLO)
+                await link.send(
+                    encode(pb.Welcome(version=min(hello.version, VERSION), name=self.name)), HELLO
+                )
                 return hello
         except TimeoutError:
             raise LinkLost(f"no hello within {HELLO:g} s") from None
--- a/linedeal/fleet/hosts.py
+++ b/linedeal/fleet/hosts.py
@@ -15,8 +15,8 @@
     cell: int
     mode: Mode
     boot: int
-    age: float                  # seconds since that boot, by this controller's reckoning
-    address: str                # HOST:PORT; empty: none is known
+    age: float  # seconds since that boot, by this controller's reckoning
+    address: str  # HOST:PORT; empty: none is known
 
     @property
     def seen(self) -> Seen:
--- a/linedeal/fleet/office.py
+++ b/linedeal/fleet/office.py
@@ -22,9 +22,9 @@
 from linedeal.protocol import pb
 from linedeal.settings.records import CampaignSettings, CouncilSettings
 
-REPORT_EVERY = 2.0      # seconds
+REPORT_EVERY = 2.0  # seconds
 CENSUS_EVERY = 3.0
-CENSUS = "duty/census"          # the register of the duty; its result is in another
+CENSUS = "duty/census"  # the register of the duty; its result is in another
 DUTIES = (CENSUS, CAMPAIGN)
 
 
@@ -57,8 +57,9 @@
 class Desk:
     """One duty at one controller."""
 
-    def __init__(self, name: str, who: str, asker: Asker, timing: LeaseTiming,
-                 work: Callable[[Owned], Awaitable], log):
+    def __init__(
+        self, name: str, who: str, asker: Asker, timing: LeaseTiming, work: Callable[[Owned], Awaitable], log
+    ):
         self.name, self.asker, self.work, self.log = name, asker, work, log
         self.holder = Holder(name, who, True, random.Random(who).random, anyio.current_time(), timing)
         self.turned = anyio.Event()
@@ -93,7 +94,7 @@
     def leave(self) -> None:
         self.holder.wants = False
         if self.scope is not None:
-            self.scope.cancel()     # nothing of it is ordered any more
+            self.scope.cancel()  # nothing of it is ordered any more
         if self.holder.stand is Stand.OWNS:
             self.carry_out(self.holder.resign(anyio.current_time()))
 
@@ -114,7 +115,7 @@
             try:
                 await self.work(owned)
             except NotOwned:
-                pass        # `Lost` says it, at the holder's next turn
+                pass  # `Lost` says it, at the holder's next turn
             except Exception:
                 # a fault of one duty's work ends neither the controller nor the duty: another may do better
                 self.log.error("fault", where=self.name, trace=traceback.format_exc())
@@ -124,28 +125,55 @@
 class Office:
     """`sees()` gives the sums and figures of this controller, for its report; `hosts()` its list."""
 
-    def __init__(self, settings: CouncilSettings, name: str, life: int, token: str, net, sees, log,
-                 campaign: CampaignSettings = CampaignSettings(), hosts: Callable[[], HostsNow] = HostsNow):
+    def __init__(
+        self,
+        settings: CouncilSettings,
+        name: str,
+        life: int,
+        token: str,
+        net,
+        sees,
+        log,
+        campaign: CampaignSettings = CampaignSettings(),
+        hosts: Callable[[], HostsNow] = HostsNow,
+    ):
         self.settings, self.name, self.life, self.sees, self.log = settings, name, life, sees, log
         self.campaign, self.hosts = campaign, hosts
         self.token, self.net = token, net
-        self.timing = LeaseTiming(lease=settings.lease, drift=settings.drift, margin=0.05 * settings.lease,
-                                  renew=settings.lease / 4, watch=settings.lease / 6, answer=settings.lease / 6)
+        self.timing = LeaseTiming(
+            lease=settings.lease,
+            drift=settings.drift,
+            margin=0.05 * settings.lease,
+            renew=settings.lease / 4,
+            watch=settings.lease / 6,
+            answer=settings.lease / 6,
+        )
         self.spread = random.Random(f"{name} {life}").random
         self.desks: list[Desk] = []
         self.census: census.Census | None = None
-        self.census_at = 0.0            # when it was heard, this machine's clock
+        self.census_at = 0.0  # when it was heard, this machine's clock
 
     async def run(self) -> None:
-        async with Asker(self.settings, self.name, self.token, self.net, self.spread) as self.asker, \
-                anyio.create_task_group() as tasks:
+        async with (
+            Asker(self.settings, self.name, self.token, self.net, self.spread) as self.asker,
+            anyio.create_task_group() as tasks,
+        ):
             who = f"{self.name}/{self.life}"
             works = {CENSUS: self.take_census}
             if self.campaign.tool is not None:
-                release = Release(self.campaign, self.asker, Orderer(self.settings, who, self.token, self.net),
-                                  self.timing.answer, self.hosts, lambda: self.census, self.log)
+                release = Release(
+                    self.campaign,
+                    self.asker,
+                    Orderer(self.settings, who, self.token, self.net),
+                    self.timing.answer,
+                    self.hosts,
+                    lambda: self.census,
+                    self.log,
+                )
                 works[CAMPAIGN] = release.work
-            self.desks = [Desk(duty, who, self.asker, self.timing, work, self.log) for duty, work in works.items()]
+            self.desks = [
+                Desk(duty, who, self.asker, self.timing, work, self.log) for duty, work in works.items()
+            ]
             for desk in self.desks:
                 tasks.start_soon(desk.run)
             tasks.start_soon(self.report)
@@ -165,7 +193,9 @@
             sums, stands = self.sees()
             report = census.Report(self.name, self.life, sums, stands)
             try:
-                told = await self.asker.ask(pb.CouncilAsk(kind=pb.REPORT, body=census.encoded(report)), REPORT_EVERY)
+                told = await self.asker.ask(
+                    pb.CouncilAsk(kind=pb.REPORT, body=census.encoded(report)), REPORT_EVERY
+                )
                 if told.outcome is Outcome.READ and told.value.body:
                     self.heard(census.read(told.value.body, census.Census))
             except (CouncilFault, Refusal) as fault:
@@ -185,8 +215,15 @@
             at = await self.asker.read(census.RESULT, self.timing.answer)
             if at.outcome is Outcome.READ and self.older(at.value.body, made):
                 # the version makes an owner fail that was late: a later one's census was written since this read
-                await self.asker.change(census.RESULT, Change(f"{self.name}/{self.life}/{owned.token()}/{number}",
-                                                       at.value.version, census.encoded(made)), self.timing.answer)
+                await self.asker.change(
+                    census.RESULT,
+                    Change(
+                        f"{self.name}/{self.life}/{owned.token()}/{number}",
+                        at.value.version,
+                        census.encoded(made),
+                    ),
+                    self.timing.answer,
+                )
             await anyio.sleep(CENSUS_EVERY)
 
     def older(self, body: bytes, made: census.Census) -> bool:
--- a/linedeal/fleet/operator.py
+++ b/linedeal/fleet/operator.py
@@ -30,14 +30,21 @@
     cells: tuple[int, ...] = ()
 
     def takes(self, name: str, host: HostNow) -> bool:
-        return all((not wanted or has in wanted) for wanted, has in (
-            (self.names, name), (self.kinds, host.kind), (self.zones, host.zone), (self.cells, host.cell)))
+        return all(
+            (not wanted or has in wanted)
+            for wanted, has in (
+                (self.names, name),
+                (self.kinds, host.kind),
+                (self.zones, host.zone),
+                (self.cells, host.cell),
+            )
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Standing:
     plan: Plan | None
-    version: int                # of the plan's register
+    version: int  # of the plan's register
     duty: Duty
     progress: Progress
 
@@ -57,8 +64,9 @@
     plan = learned(await asker.read(PLAN, within / 2), "the campaign's plan")
     owned = learned(await asker.read(CAMPAIGN, within / 2), "the campaign's owner")
     duty = duties.decoded(owned.value.body)
-    return Standing(campaign.read(plan.value.body, Plan), plan.value.version, duty,
-                    campaign.read(duty.progress, Progress))
+    return Standing(
+        campaign.read(plan.value.body, Plan), plan.value.version, duty, campaign.read(duty.progress, Progress)
+    )
 
 
 async def hosts(asker: Asker, within: float) -> HostsNow:
@@ -111,9 +119,11 @@
         if was is not None and (duty.owner, duty.token) != (was.owner, was.token):
             raise Refusal(f"{duty.owner or 'nobody'} has it meanwhile: look at it again")
         was = duty
-        change = Change(f"operator/{uuid.uuid4().hex}", told.value.version, duties.encoded(duties.taken_away(duty, heir)))
+        change = Change(
+            f"operator/{uuid.uuid4().hex}", told.value.version, duties.encoded(duties.taken_away(duty, heir))
+        )
         told = await asker.change(name, change, max(0.1, until - anyio.current_time()))
-        if told.outcome is not Outcome.CONFLICT:    # else its owner has renewed it in between
+        if told.outcome is not Outcome.CONFLICT:  # else its owner has renewed it in between
             made(told, "", name)
             return duty
 
@@ -127,4 +137,6 @@
 
 async def put(asker: Asker, plan: Plan, version: int, within: float) -> None:
     change = Change(f"operator/{uuid.uuid4().hex}", version, campaign.encoded(plan))
-    made(await asker.change(PLAN, change, within), "another operator was faster: look at it again", "the plan")
+    made(
+        await asker.change(PLAN, change, within), "another operator was faster: look at it again", "the plan"
+    )
--- a/linedeal/fleet/orders.py
+++ b/linedeal/fleet/orders.py
@@ -10,7 +10,7 @@
 from linedeal.settings.records import CouncilSettings
 
 KINDS = {Kind.DRAIN: pb.HOST_DRAIN, Kind.REPLACE: pb.HOST_REPLACE}
-MOST_WHY = 200          # characters of a refusal that are kept
+MOST_WHY = 200  # characters of a refusal that are kept
 
 
 class Orderer:
@@ -18,15 +18,26 @@
 
     def __init__(self, settings: CouncilSettings, name: str, token: str, net: Net):
         self.net = net
-        self.hello = encode(pb.Hello(version=VERSION, role=pb.OWNER, name=name, session=settings.id, token=token))
+        self.hello = encode(
+            pb.Hello(version=VERSION, role=pb.OWNER, name=name, session=settings.id, token=token)
+        )
         self.numbers = itertools.count(1)
 
-    async def send(self, address: Address, order: Order, duty: str, token: int, within: float) -> Reply | None:
+    async def send(
+        self, address: Address, order: Order, duty: str, token: int, within: float
+    ) -> Reply | None:
         """None: no answer came in time; it may have been carried out, and may be still. Raises LinkLost where the other
         side refuses to listen."""
         number = next(self.numbers)
-        said = pb.DutyOrder(number=number, duty=duty, token=token, campaign=order.campaign, kind=KINDS[order.kind],
-                            host=order.host, boot=order.boot)
+        said = pb.DutyOrder(
+            number=number,
+            duty=duty,
+            token=token,
+            campaign=order.campaign,
+            kind=KINDS[order.kind],
+            host=order.host,
+            boot=order.boot,
+        )
         with anyio.move_on_after(within):
             link, welcome = await open_link(self.net, address, FrameReader(), self.hello, within)
             try:
@@ -36,8 +47,14 @@
                 while True:
                     told = await link.receive()
                     if isinstance(told, pb.DutyTold) and told.number == number:
-                        return Reply(told.done, told.boot, told.draining, told.jobs, told.irreversible,
-                                     told.why[:MOST_WHY])
+                        return Reply(
+                            told.done,
+                            told.boot,
+                            told.draining,
+                            told.jobs,
+                            told.irreversible,
+                            told.why[:MOST_WHY],
+                        )
             finally:
                 await link.close()
         return None
--- a/linedeal/fleet/peers.py
+++ b/linedeal/fleet/peers.py
@@ -13,10 +13,10 @@
 from linedeal.net import Address, FrameError, Link, LinkLost, Net, open_link, until_lost
 from linedeal.protocol import FrameReader, encode, pb
 
-QUEUE = 512             # packets that wait for one peer
-CONNECT = 1.0           # seconds for a link to stand
-SEND = 2.0              # seconds for the peer to make room for what is written
-AGAIN = (0.1, 2.0)      # seconds until the next try, doubled from the first to the second
+QUEUE = 512  # packets that wait for one peer
+CONNECT = 1.0  # seconds for a link to stand
+SEND = 2.0  # seconds for the peer to make room for what is written
+AGAIN = (0.1, 2.0)  # seconds until the next try, doubled from the first to the second
 
 
 async def open_to_member(net: Net, address: Address, hello: bytes, within: float) -> Link:
@@ -30,7 +30,14 @@
 
 class PeerLink:
     def __init__(self, name: str, address: Address, hello: bytes, net: Net, spread: Callable[[], float], log):
-        self.name, self.address, self.hello, self.net, self.spread, self.log = name, address, hello, net, spread, log
+        self.name, self.address, self.hello, self.net, self.spread, self.log = (
+            name,
+            address,
+            hello,
+            net,
+            spread,
+            log,
+        )
         self.outbox: deque[Packet] = deque(maxlen=QUEUE)
         self.wake = anyio.Event()
         self.up = False
@@ -55,7 +62,7 @@
                 if self.up or pause >= AGAIN[1]:
                     self.log.warning("council link down", peer=self.name, reason=str(error))
             self.up = False
-            self.outbox.clear()         # old by the time there is a link again, and said anew then
+            self.outbox.clear()  # old by the time there is a link again, and said anew then
             self.wake = anyio.Event()
             await anyio.sleep(pause * (0.75 + 0.5 * self.spread()))
             pause = min(2 * pause, AGAIN[1])
@@ -74,4 +81,6 @@
     async def read(self, link) -> None:
         """The peer says nothing here but goodbye: its packets come on the link that it makes."""
         message = await link.receive()
-        raise LinkLost(getattr(message, "reason", "") or f"{type(message).__name__} from a peer that was to listen")
+        raise LinkLost(
+            getattr(message, "reason", "") or f"{type(message).__name__} from a peer that was to listen"
+        )
--- a/linedeal/fleet/release.py
+++ b/linedeal/fleet/release.py
@@ -20,17 +20,25 @@
 from linedeal.settings.records import CampaignSettings
 
 CAMPAIGN = "duty/campaign"
-EVERY = 0.5             # seconds between two looks while one runs
-IDLE = 2.0              # ... while none does
-ORDER = 1.0             # seconds for an order to be answered by a host
-TOOL = 30.0             # ... by the tool, which replaces a host meanwhile
+EVERY = 0.5  # seconds between two looks while one runs
+IDLE = 2.0  # ... while none does
+ORDER = 1.0  # seconds for an order to be answered by a host
+TOOL = 30.0  # ... by the tool, which replaces a host meanwhile
 
 
 class Release:
     """`hosts()` gives the controller's list; `latest()` its last census, if any."""
 
-    def __init__(self, settings: CampaignSettings, asker: Asker, orderer: Orderer, answer: float,
-                 hosts: Callable[[], HostsNow], latest, log):
+    def __init__(
+        self,
+        settings: CampaignSettings,
+        asker: Asker,
+        orderer: Orderer,
+        answer: float,
+        hosts: Callable[[], HostsNow],
+        latest,
+        log,
+    ):
         self.settings, self.asker, self.orderer, self.answer = settings, asker, orderer, answer
         self.hosts, self.latest, self.log = hosts, latest, log
 
@@ -65,11 +73,18 @@
         now, listed, census = anyio.current_time(), self.hosts(), self.latest()
         if census is not None:
             course.hear(census, now)
-        after = course.step(plan, self.settings.bounds, {name: host.seen for name, host in listed.hosts.items()},
-                            listed.age, now)
+        after = course.step(
+            plan,
+            self.settings.bounds,
+            {name: host.seen for name, host in listed.hosts.items()},
+            listed.age,
+            now,
+        )
         if after is None:
             return
-        await owned.record(campaign.encoded(after))     # returns once the council has it; cancelled if it never will
+        await owned.record(
+            campaign.encoded(after)
+        )  # returns once the council has it; cancelled if it never will
         course.written(after, now)
         self.log.info("campaign", stands=campaign.counted(plan, after))
 
--- a/linedeal/fleet/service.py
+++ b/linedeal/fleet/service.py
@@ -14,7 +14,19 @@
 
 from linedeal.council import moves
 from linedeal.council.member import Member
-from linedeal.council.records import ROSTER, Answer, Ask, Change, Fault, Keep, Outcome, Packet, Retire, Send, Timing
+from linedeal.council.records import (
+    ROSTER,
+    Answer,
+    Ask,
+    Change,
+    Fault,
+    Keep,
+    Outcome,
+    Packet,
+    Retire,
+    Send,
+    Timing,
+)
 from linedeal.duties import census
 from linedeal.duties.duty import Refusal
 from linedeal.fleet.disk import CouncilDisk
@@ -26,9 +38,12 @@
 from linedeal.settings.records import CouncilSettings
 from linedeal.state import StoreFault
 
-QUEUE = 1024            # packets and asks that wait for the core
-WITHIN = 10.0           # seconds, at most, for an answer
-ANEW = (1.0, 15.0)      # seconds after a fault of the disk until the next life, doubled from the first to the second
+QUEUE = 1024  # packets and asks that wait for the core
+WITHIN = 10.0  # seconds, at most, for an answer
+ANEW = (
+    1.0,
+    15.0,
+)  # seconds after a fault of the disk until the next life, doubled from the first to the second
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,17 +58,30 @@
     """`seat` is the address of this member's council; `token` proves that it may speak to the others; `hosts()` gives
     the hosts as this member's controller has them."""
 
-    def __init__(self, settings: CouncilSettings, name: str, directory, seat: Address, token: str, net: Net, log,
-                 timing: Timing = Timing(), hosts: Callable[[], HostsNow] = HostsNow):
+    def __init__(
+        self,
+        settings: CouncilSettings,
+        name: str,
+        directory,
+        seat: Address,
+        token: str,
+        net: Net,
+        log,
+        timing: Timing = Timing(),
+        hosts: Callable[[], HostsNow] = HostsNow,
+    ):
         self.settings, self.name, self.directory, self.seat, self.net = settings, name, directory, seat, net
         self.log, self.timing, self.hosts = log, timing, hosts
         self.random = random.SystemRandom()
         hello = encode(pb.Hello(version=VERSION, role=pb.MEMBER, name=name, session=settings.id, token=token))
-        self.peers = {peer: PeerLink(peer, address, hello, net, self.random.random, log)
-                      for peer, address in settings.places.items() if peer != name}
+        self.peers = {
+            peer: PeerLink(peer, address, hello, net, self.random.random, log)
+            for peer, address in settings.places.items()
+            if peer != name
+        }
         self.hall = Hall(name, settings, net, self.heard, self.asked, log)
         self.put, self.taken = anyio.create_memory_object_stream(QUEUE)
-        self.asks: dict[int, Wanted] = {}       # whom each answer is for
+        self.asks: dict[int, Wanted] = {}  # whom each answer is for
         self.numbers = 0
         self.reports = census.Reports()
 
@@ -97,18 +125,33 @@
     async def live(self) -> None:
         disk = await anyio.to_thread.run_sync(CouncilDisk, self.directory, self.name, self.settings.id)
         try:
-            member = Member(disk.identity, self.settings.id, self.settings.members, disk.kept,
-                            self.random.randrange(1, 1 << 62), self.random.random, self.timing)
+            member = Member(
+                disk.identity,
+                self.settings.id,
+                self.settings.members,
+                disk.kept,
+                self.random.randrange(1, 1 << 62),
+                self.random.random,
+                self.timing,
+            )
             out = member.begin(anyio.current_time())
-            self.log.info("council member begins", life=member.life, epoch=member.roster.epoch,
-                          members=member.roster.names(), retired=member.retired)
+            self.log.info(
+                "council member begins",
+                life=member.life,
+                epoch=member.roster.epoch,
+                members=member.roster.names(),
+                retired=member.retired,
+            )
             voted = False
             while True:
                 await self.carry_out(disk, out)
                 if member.may_vote() is not voted:
                     voted = not voted
-                    self.log.info("council votes" if voted else "council votes no more", epoch=member.roster.epoch,
-                                  members=member.roster.names())
+                    self.log.info(
+                        "council votes" if voted else "council votes no more",
+                        epoch=member.roster.epoch,
+                        members=member.roster.names(),
+                    )
                 out = await self.turn(member)
         finally:
             disk.close()
@@ -143,7 +186,7 @@
             await anyio.to_thread.run_sync(disk.write, keeps)
         for one in out:
             if type(one) is Send:
-                peer = self.peers.get(one.to)       # a member that this cluster file does not name yet has none
+                peer = self.peers.get(one.to)  # a member that this cluster file does not name yet has none
                 if peer is not None:
                     peer.send(one.packet)
             elif type(one) is Retire:
@@ -196,8 +239,11 @@
             raise Fault(f"{said.id} has not been heard of as one that belongs to no council: start it first")
         roster = moves.replaced(member.roster, said.key, comes)
         held = member.slots.get(ROSTER)
-        return Change(f"{said.key}>{comes.name}/{comes.incarnation}", held.value.version if held else 0,
-                      moves.encoded(roster))
+        return Change(
+            f"{said.key}>{comes.name}/{comes.incarnation}",
+            held.value.version if held else 0,
+            moves.encoded(roster),
+        )
 
     def tell_answers(self, out: list) -> None:
         for one in out:
@@ -206,7 +252,9 @@
                 self.tell(wanted, one.outcome, one.value.version, one.value.body)
 
     def tell(self, wanted: Wanted, outcome: Outcome, version: int = 0, body: bytes = b"") -> None:
-        wanted.asker.tell(pb.CouncilTold(number=wanted.said.number, outcome=outcome.name, version=version, body=body))
+        wanted.asker.tell(
+            pb.CouncilTold(number=wanted.said.number, outcome=outcome.name, version=version, body=body)
+        )
 
     def fault(self, wanted: Wanted, why: str) -> None:
         wanted.asker.tell(pb.CouncilTold(number=wanted.said.number, outcome="FAULT", body=why.encode()))
@@ -224,9 +272,18 @@
         return []
 
     def status(self, member: Member) -> dict:
-        return {"name": self.name, "council": self.settings.id, "epoch": member.roster.epoch,
-                "members": member.roster.names(), "votes": member.may_vote(), "retired": member.retired,
-                "life": member.life, "known_by": sorted(member.known_by), "moving": member.sealed is not None,
-                "elsewhere": member.elsewhere.names() if member.elsewhere else [],
-                "candidates": sorted(member.candidates()), "registers": sorted(member.slots),
-                "links": sorted(name for name, peer in self.peers.items() if peer.up)}
+        return {
+            "name": self.name,
+            "council": self.settings.id,
+            "epoch": member.roster.epoch,
+            "members": member.roster.names(),
+            "votes": member.may_vote(),
+            "retired": member.retired,
+            "life": member.life,
+            "known_by": sorted(member.known_by),
+            "moving": member.sealed is not None,
+            "elsewhere": member.elsewhere.names() if member.elsewhere else [],
+            "candidates": sorted(member.candidates()),
+            "registers": sorted(member.slots),
+            "links": sorted(name for name, peer in self.peers.items() if peer.up),
+        }
--- a/linedeal/interface.py
+++ b/linedeal/interface.py
@@ -121,6 +121,7 @@
 
 # Events
 
+
 @dataclass(frozen=True, slots=True)
 class HostsListed:
     hosts: tuple[HostEntry, ...]
@@ -195,12 +196,13 @@
 
 # Actions
 
+
 @dataclass(frozen=True, slots=True)
 class Launch:
     job: str
     host: str
     wait: float
-    leave: float = float("inf")     # seconds within which it has to leave, or must not leave any more
+    leave: float = float("inf")  # seconds within which it has to leave, or must not leave any more
 
 
 @dataclass(frozen=True, slots=True)
--- a/linedeal/lab/baselines.py
+++ b/linedeal/lab/baselines.py
@@ -8,8 +8,8 @@
 
 from linedeal.policy import Controller
 
-ON_THE_WAY = 0.02       # seconds from a send until the host has it, in memory
-SUBSET = 20             # hosts of a controller's own subset, where there are so many
+ON_THE_WAY = 0.02  # seconds from a send until the host has it, in memory
+SUBSET = 20  # hosts of a controller's own subset, where there are so many
 
 
 class Baseline(Controller):
@@ -17,8 +17,11 @@
         """Room and host, of those that the gate allows and that are not known to be full."""
         self.usual_load()
         ask = track.job.cores, track.job.memory, *track.use()
-        found = [(self.room(ask, host), host) for host in self.hosts.values()
-                 if host.full_until <= self.now and self.allowed(track, host)]
+        found = [
+            (self.room(ask, host), host)
+            for host in self.hosts.values()
+            if host.full_until <= self.now and self.allowed(track, host)
+        ]
         return [pair for pair in found if pair[0] >= 0]
 
     def choose(self, track):
@@ -62,7 +65,7 @@
 
     def fit(self, track):
         found = super().fit(track)
-        if self.of != len(self.hosts):      # drawn anew as hosts come and go; the same for the same hosts
+        if self.of != len(self.hosts):  # drawn anew as hosts come and go; the same for the same hosts
             if not self.of:
                 self.seed = self.random.randrange(1 << 30)
             self.of = len(self.hosts)
@@ -79,7 +82,7 @@
     memory alone, where `models()` gives the stand-in hosts as they are."""
 
     models = None
-    sent: dict = {}             # by host: when and how much, of all controllers; drawn anew with each day
+    sent: dict = {}  # by host: when and how much, of all controllers; drawn anew with each day
 
     def pick(self, fit, track):
         models = type(self).models()
@@ -97,6 +100,12 @@
         return best
 
 
-POLICIES = {"linedeal": Controller, "random": ByChance, "most-room": MostRoom, "two-choices": TwoChoices,
-            "three-choices": ThreeChoices, "own-subset": OwnSubset}
+POLICIES = {
+    "linedeal": Controller,
+    "random": ByChance,
+    "most-room": MostRoom,
+    "two-choices": TwoChoices,
+    "three-choices": ThreeChoices,
+    "own-subset": OwnSubset,
+}
 IN_MEMORY = {**POLICIES, "bound": OneChooser}
--- a/linedeal/lab/clocks.py
+++ b/linedeal/lab/clocks.py
@@ -25,10 +25,10 @@
 
     def time(self) -> float:
         true = super().time()
-        if not hasattr(self, "begun"):      # asked while it is being made
+        if not hasattr(self, "begun"):  # asked while it is being made
             return true
         return self.begun + (true - self.begun) * self.rate + self.ahead
 
     def jump(self, seconds: float) -> None:
         self.ahead += seconds
-        self.call_soon(lambda: None)        # it looks at its timers at once
+        self.call_soon(lambda: None)  # it looks at its timers at once
--- a/linedeal/lab/day.py
+++ b/linedeal/lab/day.py
@@ -30,7 +30,7 @@
 class ControllerSpec:
     name: str
     zone: str
-    clock: float = 1.0          # seconds of its clock in a true second
+    clock: float = 1.0  # seconds of its clock in a true second
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,12 +38,12 @@
     """Jobs of one offering."""
 
     offering: str
-    rate: float                 # a second
+    rate: float  # a second
     cores: tuple[float, float]
     memory: tuple[float, float]
     services: int
     customers: tuple[str, ...]
-    sessions: bool = False      # owners ask in sessions, which outlive links and controllers
+    sessions: bool = False  # owners ask in sessions, which outlive links and controllers
 
 
 @dataclass(frozen=True, slots=True)
@@ -72,14 +72,30 @@
 
 # verb: what it acts on, how many words follow, whether it lasts
 VERBS = {
-    "kill": ("any", 0, "may"), "stop": ("any", 0, "must"), "mute": ("host", 0, "must"), "slow": ("host", 1, "must"),
-    "errors": ("host", 1, "must"), "refuse": ("host", 1, "must"), "pace": ("host", 1, "must"),
-    "flush": ("host", 0, "no"), "drain": ("host", 0, "may"), "deploy": ("host", 1, "no"),
-    "cut": ("any", 2, "must"), "grow": ("", 3, "no"), "discovery": ("", -1, "may"), "burst": ("", 1, "must"),
-    "surge": ("", 2, "must"), "heavy": ("", 2, "must"),
-    "campaign": ("", -1, "no"), "hand": ("", 1, "no"), "loss": ("", 1, "must"), "double": ("", 1, "must"),
-    "favour": ("controller", 1, "must"), "hot": ("", 2, "must"),
-    "delay": ("", 1, "must"), "jump": ("controller", 1, "no"),
+    "kill": ("any", 0, "may"),
+    "stop": ("any", 0, "must"),
+    "mute": ("host", 0, "must"),
+    "slow": ("host", 1, "must"),
+    "errors": ("host", 1, "must"),
+    "refuse": ("host", 1, "must"),
+    "pace": ("host", 1, "must"),
+    "flush": ("host", 0, "no"),
+    "drain": ("host", 0, "may"),
+    "deploy": ("host", 1, "no"),
+    "cut": ("any", 2, "must"),
+    "grow": ("", 3, "no"),
+    "discovery": ("", -1, "may"),
+    "burst": ("", 1, "must"),
+    "surge": ("", 2, "must"),
+    "heavy": ("", 2, "must"),
+    "campaign": ("", -1, "no"),
+    "hand": ("", 1, "no"),
+    "loss": ("", 1, "must"),
+    "double": ("", 1, "must"),
+    "favour": ("controller", 1, "must"),
+    "hot": ("", 2, "must"),
+    "delay": ("", 1, "must"),
+    "jump": ("controller", 1, "no"),
 }
 WISHES = ("pause", "resume", "abort")
 DUTIES = ("census", "campaign")
@@ -133,9 +149,17 @@
             self.check(cluster)
         if self.faults:
             raise DayFault(self.faults)
-        return Day(Path(self.name).stem, str(self.base / self.cluster_path), cluster, self.seed, self.length,
-                   tuple(self.controllers), tuple(self.hosts), tuple(self.streams),
-                   tuple(sorted(orders, key=lambda order: order.at)))
+        return Day(
+            Path(self.name).stem,
+            str(self.base / self.cluster_path),
+            cluster,
+            self.seed,
+            self.length,
+            tuple(self.controllers),
+            tuple(self.hosts),
+            tuple(self.streams),
+            tuple(sorted(orders, key=lambda order: order.at)),
+        )
 
     def guard(self, number, call) -> None:
         try:
@@ -156,27 +180,45 @@
             self.habits.update(habit(word) for word in rest)
         elif name == "controllers":
             zones = after(rest, "zones") or ["a"]
-            self.controllers += [ControllerSpec(f"c{i + 1}", zones[i % len(zones)]) for i in range(int(rest[0]))]
+            self.controllers += [
+                ControllerSpec(f"c{i + 1}", zones[i % len(zones)]) for i in range(int(rest[0]))
+            ]
         elif name == "hosts":
             zones, own = after(rest, "zones") or ["a"], dict(habit(word) for word in rest if "=" in word)
             cell = int((after(rest, "cells") or ["4"])[0])
             for _ in range(int(rest[0])):
                 i = len(self.hosts)
-                self.hosts.append(HostSpec(f"h{i + 1:02}", after(rest, "kind")[0], zones[i % len(zones)], i // cell,
-                                           Habits(**{**self.habits, **own})))
+                self.hosts.append(
+                    HostSpec(
+                        f"h{i + 1:02}",
+                        after(rest, "kind")[0],
+                        zones[i % len(zones)],
+                        i // cell,
+                        Habits(**{**self.habits, **own}),
+                    )
+                )
         elif name == "clock":
             rate = float(rest[1])
             if not 0.5 <= rate <= 2.0:
                 raise ValueError(f"a clock's rate of {rate:g}, 0.5 to 2 may be")
             slow = self.names(rest[0])
-            self.controllers = [replace(spec, clock=rate) if spec.name in slow else spec for spec in self.controllers]
+            self.controllers = [
+                replace(spec, clock=rate) if spec.name in slow else spec for spec in self.controllers
+            ]
         elif name == "load":
             sessions = "sessions" in rest[2:]
             figures = dict(word.split("=") for word in rest[2:] if word != "sessions")
-            self.streams.append(Stream(
-                rest[0], float(rest[1]), span(figures.pop("cores", "1-2")), span(figures.pop("memory", "1-4")),
-                int(figures.pop("services", "4")), tuple(figures.pop("customers", "").split(",")),
-                sessions))
+            self.streams.append(
+                Stream(
+                    rest[0],
+                    float(rest[1]),
+                    span(figures.pop("cores", "1-2")),
+                    span(figures.pop("memory", "1-4")),
+                    int(figures.pop("services", "4")),
+                    tuple(figures.pop("customers", "").split(",")),
+                    sessions,
+                )
+            )
             if figures:
                 raise ValueError(f"unknown figure {next(iter(figures))}")
         elif name == "at":
@@ -205,7 +247,7 @@
                     raise ValueError(f"{verb} is for controllers")
             if on == "host":
                 hosts = {host.name for host in self.hosts}
-                who = tuple(name for name in who if name in hosts)      # zone:a names controllers too
+                who = tuple(name for name in who if name in hosts)  # zone:a names controllers too
                 if not who:
                     raise ValueError(f"{verb} is for hosts")
         if verb == "cut":
@@ -255,11 +297,15 @@
         if text == "controllers":
             return tuple(controllers)
         if text.startswith("zone:"):
-            found = [n for table in (hosts, controllers) for n, spec in table.items() if spec.zone == text[5:]]
+            found = [
+                n for table in (hosts, controllers) for n, spec in table.items() if spec.zone == text[5:]
+            ]
         elif text.startswith("cell:"):
             found = [n for n, spec in hosts.items() if spec.cell == int(text[5:])]
         elif text.endswith("%"):
-            found = sorted(Random(self.seed + len(text)).sample(list(hosts), round(len(hosts) * float(text[:-1]) / 100)))
+            found = sorted(
+                Random(self.seed + len(text)).sample(list(hosts), round(len(hosts) * float(text[:-1]) / 100))
+            )
         else:
             found = text.split(",")
             for name in found:
@@ -281,8 +327,9 @@
         if cluster.campaign.tool is None and any(words[2:3] == ["campaign"] for _, words in self.orders):
             self.faults.append(f"{self.name}: a campaign, and the cluster has no block campaign")
         if len(self.controllers) != settings.controllers:
-            self.faults.append(f"{self.name}: {len(self.controllers)} controllers, the cluster states "
-                               f"{settings.controllers}")
+            self.faults.append(
+                f"{self.name}: {len(self.controllers)} controllers, the cluster states {settings.controllers}"
+            )
 
 
 def after(words, name) -> list[str] | None:
@@ -290,7 +337,7 @@
     if name not in words:
         return None
     found = []
-    for word in words[words.index(name) + 1:]:
+    for word in words[words.index(name) + 1 :]:
         if word in ("kind", "zones", "cells") or "=" in word:
             break
         found.append(word)
--- a/linedeal/lab/director.py
+++ b/linedeal/lab/director.py
@@ -10,7 +10,7 @@
 from linedeal.lab.load import Owners
 from linedeal.lab.playground import Playground
 
-DRAIN = 3.0     # seconds that a host of a rolling deploy drains before it is replaced
+DRAIN = 3.0  # seconds that a host of a rolling deploy drains before it is replaced
 
 
 class Director:
@@ -23,20 +23,22 @@
         async with anyio.create_task_group() as tasks:
             for order in self.day.orders:
                 await anyio.sleep_until(begun + order.at)
-                self.say(f"{order.at:6.1f}  {order.verb} {','.join(order.who)} {' '.join(order.args)}".rstrip()
-                         + (f" for {order.until - order.at:g} s" if order.until else ""))
+                self.say(
+                    f"{order.at:6.1f}  {order.verb} {','.join(order.who)} {' '.join(order.args)}".rstrip()
+                    + (f" for {order.until - order.at:g} s" if order.until else "")
+                )
                 tasks.start_soon(self.play, order, begun)
 
     async def play(self, order: Order, begun: float) -> None:
         try:
             await self.play_through(order, begun)
-        except (Refusal, Unlearned) as error:       # what an operator is told, and may be told in any day
+        except (Refusal, Unlearned) as error:  # what an operator is told, and may be told in any day
             self.say(f"        {order.verb}: {error}")
             await self.ground.mark("refused", f"{order.verb}: {error}")
 
     async def play_through(self, order: Order, begun: float) -> None:
         owners = [name for name in order.who if name.startswith("owner:")]
-        if owners:      # by name, so that the end of it is for who it began with
+        if owners:  # by name, so that the end of it is for who it began with
             found = tuple([await self.ground.operator.owner(name[6:]) for name in owners])
             self.say(f"        {', '.join(owners)}: {', '.join(found)}")
             order = replace(order, who=tuple(name for name in order.who if name not in owners) + found)
@@ -99,7 +101,7 @@
         """Replaces hosts in batches of that share of the named ones: each drains, goes, and comes back young."""
         size = max(1, round(len(order.who) * float(order.args[0]) / 100))
         for first in range(0, len(order.who), size):
-            batch = replace(order, who=order.who[first:first + size])
+            batch = replace(order, who=order.who[first : first + size])
             await self.drain(batch, True)
             await anyio.sleep(DRAIN)
             await self.kill(batch, True)
--- a/linedeal/lab/evenday.py
+++ b/linedeal/lab/evenday.py
@@ -4,10 +4,12 @@
 
 from linedeal.lab.day import Day, parse_day
 
-ROOM = 32.0             # cores that a host of kind std accepts: twice its sixteen
-LIFE, SETUP = 12.0, 0.5     # of the hosts' habits, seconds
-CORES = 2.5             # of the mean job
-RUN = 1.377 * LIFE + SETUP  # seconds that the mean job asks for its cores: the mean of the hosts' lives, lognormal by 0.8
+ROOM = 32.0  # cores that a host of kind std accepts: twice its sixteen
+LIFE, SETUP = 12.0, 0.5  # of the hosts' habits, seconds
+CORES = 2.5  # of the mean job
+RUN = (
+    1.377 * LIFE + SETUP
+)  # seconds that the mean job asks for its cores: the mean of the hosts' lives, lognormal by 0.8
 
 CLUSTER = """
 cluster {{
@@ -46,8 +48,15 @@
 }
 
 
-def even_day(directory: Path, controllers: int, hosts: int, length: float, room: float = 0.7, trouble: str = "calm",
-             seed: int = 1) -> tuple[Day, Path]:
+def even_day(
+    directory: Path,
+    controllers: int,
+    hosts: int,
+    length: float,
+    room: float = 0.7,
+    trouble: str = "calm",
+    seed: int = 1,
+) -> tuple[Day, Path]:
     """At that share of room, with one trouble at half its length; its files are written into the directory."""
     directory.mkdir(parents=True, exist_ok=True)
     (directory / "cluster.hcl").write_text(CLUSTER.format(controllers=controllers), encoding="utf-8")
--- a/linedeal/lab/evening.py
+++ b/linedeal/lab/evening.py
@@ -27,16 +27,20 @@
     entries: list[Entry]
 
 
-def played_in_memory(day: Day, policy: type = Controller, say: Callable[[str], None] = lambda line: None) -> Watched:
+def played_in_memory(
+    day: Day, policy: type = Controller, say: Callable[[str], None] = lambda line: None
+) -> Watched:
     """The same day, policy and seed give the same course."""
-    came: dict[tuple, list] = {}        # by host and launch: when, service, whether it was refused
+    came: dict[tuple, list] = {}  # by host and launch: when, service, whether it was refused
 
     def noted(host, launch, service, refused):
         came.setdefault((host, launch), [anyio.current_time(), service, False])[2] |= refused
 
     async def work(ground: InProcess) -> Watched:
         if issubclass(policy, OneChooser):
-            policy.models = staticmethod(lambda: {name: ground.servers[name].model for name in ground.host_specs})
+            policy.models = staticmethod(
+                lambda: {name: ground.servers[name].model for name in ground.host_specs}
+            )
             policy.sent = {}
         begun, samples = anyio.current_time(), []
 
@@ -54,8 +58,12 @@
             tasks.start_soon(sample)
             tally = await play(day, ground, ground.net, say)
             tasks.cancel_scope.cancel()
-        arrivals = [Arrival(t - begun, host, ground.host_specs[host].kind, launch[0], service, refused)
-                    for (host, launch), (t, service, refused) in came.items()]
-        return Watched(samples, sorted(arrivals, key=lambda arrival: arrival.t), tally, ground.recorder.entries)
+        arrivals = [
+            Arrival(t - begun, host, ground.host_specs[host].kind, launch[0], service, refused)
+            for (host, launch), (t, service, refused) in came.items()
+        ]
+        return Watched(
+            samples, sorted(arrivals, key=lambda arrival: arrival.t), tally, ground.recorder.entries
+        )
 
     return in_memory(day, work, policy, model=lambda *rest: Sampled(noted, *rest))
--- a/linedeal/lab/evenness.py
+++ b/linedeal/lab/evenness.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Iterable, Sequence
 
-IDLE = 0.05             # share under which a host counts as idle
-FULL_AGO = 1.0          # seconds for which a refusal for want of room says that others are full
+IDLE = 0.05  # share under which a host counts as idle
+FULL_AGO = 1.0  # seconds for which a refusal for want of room says that others are full
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,9 +43,9 @@
     """Of shares at one moment."""
 
     mean: float
-    most_over_mean: float       # 1: even
-    variation: float            # standard deviation over mean; 0: even
-    jain: float                 # 1: even; 1/n: all on one
+    most_over_mean: float  # 1: even
+    variation: float  # standard deviation over mean; 0: even
+    jain: float  # 1: even; 1/n: all on one
 
 
 def spread(shares: Sequence[float]) -> Spread:
@@ -61,7 +61,9 @@
         return Spread(0.0, 1.0, 0.0, 1.0)
     squares = sum(share * share for share in shares)
     variance = max(0.0, squares / len(shares) - mean * mean)
-    return Spread(mean, max(shares) / mean, math.sqrt(variance) / mean, sum(shares) ** 2 / (len(shares) * squares))
+    return Spread(
+        mean, max(shares) / mean, math.sqrt(variance) / mean, sum(shares) ** 2 / (len(shares) * squares)
+    )
 
 
 def by_moment(samples: Iterable[HostAt]) -> dict[tuple[float, str], list[HostAt]]:
@@ -74,8 +76,10 @@
 
 def over_time(samples: Iterable[HostAt], what: str = "asked") -> list[tuple[float, str, Spread]]:
     """Moment, kind, and how even `what` was then."""
-    return [(t, kind, spread([getattr(sample, what) for sample in at]))
-            for (t, kind), at in sorted(by_moment(samples).items())]
+    return [
+        (t, kind, spread([getattr(sample, what) for sample in at]))
+        for (t, kind), at in sorted(by_moment(samples).items())
+    ]
 
 
 def typical(figures: Sequence[float], share: float = 0.5) -> float:
@@ -111,9 +115,9 @@
 class Herding:
     """Launches to one host within the age of the information."""
 
-    index: float                # of dispersion over that of independent choice: 1 is as chance would, over it a herd
-    burst: int                  # most that reached one host in one window
-    by_chance: float            # most that independent choice would send to one, in the mean
+    index: float  # of dispersion over that of independent choice: 1 is as chance would, over it a herd
+    burst: int  # most that reached one host in one window
+    by_chance: float  # most that independent choice would send to one, in the mean
 
 
 def herding(arrivals: Sequence[Arrival], hosts: Sequence[str], window: float) -> Herding:
@@ -171,11 +175,16 @@
     idle_beside_full: float
     herding: Herding
     launches: int
-    turned_away: float          # share of launches
+    turned_away: float  # share of launches
 
 
-def of_day(samples: Sequence[HostAt], arrivals: Sequence[Arrival], age: float, since: float = 0.0,
-           until: float = math.inf) -> list[Evenness]:
+def of_day(
+    samples: Sequence[HostAt],
+    arrivals: Sequence[Arrival],
+    age: float,
+    since: float = 0.0,
+    until: float = math.inf,
+) -> list[Evenness]:
     """For each kind; `age`: of the information, seconds."""
     samples = [sample for sample in samples if since <= sample.t <= until]
     arrivals = [arrival for arrival in arrivals if since <= arrival.t <= until]
@@ -185,11 +194,21 @@
         came = [arrival for arrival in arrivals if arrival.kind == kind]
         hosts = sorted({sample.host for sample in of_kind})
         spreads = [at for _, _, at in over_time(of_kind)]
-        found.append(Evenness(
-            kind, len(hosts), typical([at.mean for at in spreads]), typical([at.most_over_mean for at in spreads]),
-            typical([at.most_over_mean for at in spreads], 0.95), typical([at.variation for at in spreads]),
-            typical([at.jain for at in spreads]), idle_beside_full(of_kind, came), herding(came, hosts, age), len(came),
-            sum(arrival.refused for arrival in came) / len(came) if came else 0.0))
+        found.append(
+            Evenness(
+                kind,
+                len(hosts),
+                typical([at.mean for at in spreads]),
+                typical([at.most_over_mean for at in spreads]),
+                typical([at.most_over_mean for at in spreads], 0.95),
+                typical([at.variation for at in spreads]),
+                typical([at.jain for at in spreads]),
+                idle_beside_full(of_kind, came),
+                herding(came, hosts, age),
+                len(came),
+                sum(arrival.refused for arrival in came) / len(came) if came else 0.0,
+            )
+        )
     return found
 
 
@@ -205,8 +224,10 @@
         sent[arrival.controller][0] += 1
         sent[arrival.controller][1] += arrival.refused
     ordered = sorted(sent.values(), reverse=True)
-    halves = ordered[:(len(ordered) + 1) // 2], ordered[(len(ordered) + 1) // 2:]
-    busy, quiet = (sum(refused for _, refused in half) / max(1, sum(launches for launches, _ in half)) for half in halves)
+    halves = ordered[: (len(ordered) + 1) // 2], ordered[(len(ordered) + 1) // 2 :]
+    busy, quiet = (
+        sum(refused for _, refused in half) / max(1, sum(launches for launches, _ in half)) for half in halves
+    )
     return busy, quiet
 
 
@@ -219,4 +240,6 @@
     mean = sum(figures) / len(figures)
     if len(figures) < 2:
         return mean, 0.0
-    return mean, math.sqrt(sum((figure - mean) ** 2 for figure in figures) / (len(figures) - 1) / len(figures))
+    return mean, math.sqrt(
+        sum((figure - mean) ** 2 for figure in figures) / (len(figures) - 1) / len(figures)
+    )
--- a/linedeal/lab/explore.py
+++ b/linedeal/lab/explore.py
@@ -15,8 +15,20 @@
 from typing import Iterator
 
 from linedeal.council.member import Member
-from linedeal.council.records import (ROSTER, Answer, Ask, Ballot, Change, Identity, Keep, Mark, Packet, Roster, Send,
-                                      Value)
+from linedeal.council.records import (
+    ROSTER,
+    Answer,
+    Ask,
+    Ballot,
+    Change,
+    Identity,
+    Keep,
+    Mark,
+    Packet,
+    Roster,
+    Send,
+    Value,
+)
 from linedeal.council import moves
 from linedeal.lab.history import Op, linearizable
 
@@ -35,7 +47,7 @@
     doubles: int = 0
     crashes: int = 0
     timers: int = 0
-    rollbacks: int = 0          # crashes after which an older copy of the directory comes back
+    rollbacks: int = 0  # crashes after which an older copy of the directory comes back
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +57,7 @@
     members: int
     asks: tuple[tuple[str, Ask], ...]
     budget: Budget = Budget()
-    spare: tuple[str, ...] = ()     # directories of no council that run as well
+    spare: tuple[str, ...] = ()  # directories of no council that run as well
 
 
 def names(count: int) -> tuple[str, ...]:
@@ -56,8 +68,12 @@
     return at, Ask(number, f"c{number}", key, None, FOREVER)
 
 
-def writer(number: int, at: str, expect: int = 0, key: str = "k", id: str = "", body: bytes = b"") -> tuple[str, Ask]:
-    return at, Ask(number, f"c{number}", key, Change(id or f"w{number}", expect, body or b"%d" % number), FOREVER)
+def writer(
+    number: int, at: str, expect: int = 0, key: str = "k", id: str = "", body: bytes = b""
+) -> tuple[str, Ask]:
+    return at, Ask(
+        number, f"c{number}", key, Change(id or f"w{number}", expect, body or b"%d" % number), FOREVER
+    )
 
 
 def replacing(number: int, at: str, members: int, old: str, new: str) -> tuple[str, Ask]:
@@ -70,11 +86,11 @@
     case: Case
     members: dict[str, Member]
     disks: dict[str, dict]
-    older: dict[str, dict]                  # the copy of its directory that a rollback brings back
-    starts: dict[str, int]                  # how often each was started
-    packets: tuple[tuple[str, Packet], ...] = ()        # to whom, what; in any order
+    older: dict[str, dict]  # the copy of its directory that a rollback brings back
+    starts: dict[str, int]  # how often each was started
+    packets: tuple[tuple[str, Packet], ...] = ()  # to whom, what; in any order
     asked: frozenset[int] = frozenset()
-    history: tuple[tuple[int, Answer | None], ...] = ()     # ask number; None: it was asked
+    history: tuple[tuple[int, Answer | None], ...] = ()  # ask number; None: it was asked
     votes: dict[tuple[str, Ballot], tuple[Value, frozenset[str]]] = field(default_factory=dict)
     rosters: dict[int, Roster] = field(default_factory=dict)
     budget: Budget = Budget()
@@ -86,14 +102,33 @@
         if changes in members:
             members[changes] = members[changes].copy()
             disks[changes] = dict(disks[changes])
-        return World(self.case, members, disks, self.older, dict(self.starts), self.packets, self.asked, self.history,
-                     dict(self.votes), self.rosters, self.budget)
+        return World(
+            self.case,
+            members,
+            disks,
+            self.older,
+            dict(self.starts),
+            self.packets,
+            self.asked,
+            self.history,
+            dict(self.votes),
+            self.rosters,
+            self.budget,
+        )
 
     def frozen(self) -> int:
-        return hash((tuple(member.frozen() for member in self.members.values()),
-                     tuple(frozenset(disk.items()) for disk in self.disks.values()),
-                     frozenset(self.packets), len(self.packets), self.asked, self.history,
-                     frozenset(self.votes.items()), self.budget))
+        return hash(
+            (
+                tuple(member.frozen() for member in self.members.values()),
+                tuple(frozenset(disk.items()) for disk in self.disks.values()),
+                frozenset(self.packets),
+                len(self.packets),
+                self.asked,
+                self.history,
+                frozenset(self.votes.items()),
+                self.budget,
+            )
+        )
 
 
 def half() -> float:
@@ -125,6 +160,7 @@
 
 # --- what may happen
 
+
 def moves_of(at: World) -> Iterator[tuple]:
     case, budget = at.case, at.budget
     for place in range(len(at.packets)):
@@ -134,7 +170,7 @@
                 yield "drop", place, None
             if budget.doubles:
                 yield "double", place, None
-            if budget.crashes:      # cut off before what it keeps next is on disk
+            if budget.crashes:  # cut off before what it keeps next is on disk
                 yield "deliver", place, 0
                 yield "deliver", place, 1
     for who, ask in case.asks:
@@ -159,7 +195,7 @@
             at.packets = (*at.packets, at.packets[what])
             at.budget = replace(at.budget, doubles=at.budget.doubles - 1)
             return at
-        at.packets = at.packets[:what] + at.packets[what + 1:]
+        at.packets = at.packets[:what] + at.packets[what + 1 :]
         if kind == "drop":
             at.budget = replace(at.budget, drops=at.budget.drops - 1)
         elif to in at.members:
@@ -223,6 +259,7 @@
 
 # --- judges
 
+
 def witness_votes(at: World, name: str, keep: Keep) -> None:
     records = dict(keep.records)
     if "roster" in records:
@@ -230,7 +267,7 @@
         if at.rosters.setdefault(roster.epoch, roster) != roster:
             raise Broken(f"two rosters of epoch {roster.epoch}")
         at.rosters = dict(at.rosters)
-        return                      # what it takes over at a move are no votes of its own
+        return  # what it takes over at a move are no votes of its own
     for record, slot in records.items():
         if not record.startswith("slot/") or slot.accepted != slot.promised or not slot.accepted.epoch:
             continue
@@ -252,7 +289,7 @@
             chosen.append((ballot, value))
     chosen.sort(key=lambda one: one[0])
     for (first, before), (second, then) in zip(chosen, chosen[1:]):
-        if then.changes[:len(before.changes)] != before.changes or then.version < before.version:
+        if then.changes[: len(before.changes)] != before.changes or then.version < before.version:
             raise Broken(f"{record}: {before} was chosen at {first}, then {then} at {second}")
 
 
@@ -272,6 +309,7 @@
 
 # --- searches
 
+
 @dataclass(slots=True)
 class Found:
     """What a search saw. `states` it stood in, all different in `exhaust`; `whole` if nothing was left to try."""
@@ -281,7 +319,7 @@
     whole: bool = True
     broken: str = ""
     schedule: tuple = ()
-    answered: int = 0           # schedules at whose end all asks had an answer
+    answered: int = 0  # schedules at whose end all asks had an answer
 
 
 def exhaust(case: Case, most: int) -> Found:
--- a/linedeal/lab/faulty.py
+++ b/linedeal/lab/faulty.py
@@ -19,10 +19,25 @@
 CALM = Case(3, TWO_WRITE, Budget(drops=4, doubles=2, timers=8))
 LOSSY = Case(3, TWO_WRITE, Budget(drops=3, doubles=3, crashes=3, timers=8))
 COPIED = Case(3, TWO_WRITE, Budget(drops=3, doubles=2, crashes=1, timers=8, rollbacks=2))
-MOVING = Case(3, (writer(1, "a"), writer(2, "b"), reader(3, "c"), replacing(6, "b", 3, "c", "d"), writer(4, "b", 1),
-                  reader(5, "a"), reader(7, "b")), Budget(drops=4, doubles=1, crashes=1, timers=25), ("d",))
-ASKED_TWICE = Case(3, (writer(1, "a", id="w"), writer(2, "b", id="w"), writer(3, "c", 1), reader(4, "a")),
-                   Budget(drops=3, timers=8))
+MOVING = Case(
+    3,
+    (
+        writer(1, "a"),
+        writer(2, "b"),
+        reader(3, "c"),
+        replacing(6, "b", 3, "c", "d"),
+        writer(4, "b", 1),
+        reader(5, "a"),
+        reader(7, "b"),
+    ),
+    Budget(drops=4, doubles=1, crashes=1, timers=25),
+    ("d",),
+)
+ASKED_TWICE = Case(
+    3,
+    (writer(1, "a", id="w"), writer(2, "b", id="w"), writer(3, "c", 1), reader(4, "a")),
+    Budget(drops=3, timers=8),
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,8 +57,14 @@
 
 def forget_promises(self: Member, *records) -> None:
     """A promise alone stays in memory."""
-    true_keep(self, *[record for record in records if not record[0].startswith("slot/")
-                      or record[1].accepted == record[1].promised])
+    true_keep(
+        self,
+        *[
+            record
+            for record in records
+            if not record[0].startswith("slot/") or record[1].accepted == record[1].promised
+        ],
+    )
 
 
 def tell_first(self: Member) -> list:
@@ -90,7 +111,12 @@
 
 
 true_keep, true_done = Member.keep, Member.done
-true_heard, true_promised, true_merged, true_changed = rounds.heard, rounds.promised, moves.merged, slots.changed
+true_heard, true_promised, true_merged, true_changed = (
+    rounds.heard,
+    rounds.promised,
+    moves.merged,
+    slots.changed,
+)
 
 DELIBERATE = (
     Deliberate("a promise is forgotten at once", CALM, slots, "prepare", lambda slot, ballot: slot),
@@ -101,16 +127,37 @@
     Deliberate("the oldest vote is carried on, not the newest", CALM, slots, "newest", oldest),
     Deliberate("one member's replies count twice", LOSSY, rounds, "heard", count_twice),
     Deliberate("a member accepts below its promise", CALM, slots, "accept", any_ballot),
-    Deliberate("a look answers whatever is newest", CALM, slots, "settled",
-               lambda votes, epoch: slots.newest(votes)[1]),
-    Deliberate("a read does not write back", CALM, rounds, "AFTER", {**rounds.AFTER, rounds.Phase.PREPARE: read_unchosen}),
+    Deliberate(
+        "a look answers whatever is newest",
+        CALM,
+        slots,
+        "settled",
+        lambda votes, epoch: slots.newest(votes)[1],
+    ),
+    Deliberate(
+        "a read does not write back",
+        CALM,
+        rounds,
+        "AFTER",
+        {**rounds.AFTER, rounds.Phase.PREPARE: read_unchosen},
+    ),
     Deliberate("changes are not remembered by their ids", ASKED_TWICE, slots, "changed", no_memory),
     Deliberate("a member votes on in the epoch it sealed", MOVING, Member, "seal", never_seal),
     Deliberate("a move takes over one member's votes", MOVING, moves, "merged", merge_one),
-    Deliberate("an older copy is not told from the directory", COPIED, witness, "sight",
-               lambda seen, mark: (witness.Sight.NEWER, mark)),
-    Deliberate("a member votes before the others know its life", COPIED, Member, "may_vote",
-               lambda self: self.me in self.roster.members and not self.retired),
+    Deliberate(
+        "an older copy is not told from the directory",
+        COPIED,
+        witness,
+        "sight",
+        lambda seen, mark: (witness.Sight.NEWER, mark),
+    ),
+    Deliberate(
+        "a member votes before the others know its life",
+        COPIED,
+        Member,
+        "may_vote",
+        lambda self: self.me in self.roster.members and not self.retired,
+    ),
 )
 
 
--- a/linedeal/lab/history.py
+++ b/linedeal/lab/history.py
@@ -35,7 +35,9 @@
             return True
         if (left, value) in failed:
             return False
-        first_end = min((ops[place].ended for place in left if ops[place].ended is not None), default=float("inf"))
+        first_end = min(
+            (ops[place].ended for place in left if ops[place].ended is not None), default=float("inf")
+        )
         for place in left:
             if ops[place].began < first_end:
                 for after in effects(ops[place], value):
@@ -54,7 +56,7 @@
 def effects(op: Op, value: Value) -> list[Value]:
     """The values it may leave behind; none where its answer does not fit `value`."""
     if op.ended is not None and op.outcome in (Outcome.BUSY, Outcome.UNREADY):
-        return [value]                                      # never begun
+        return [value]  # never begun
     if op.change is None:
         return [value] if is_open(op) or op.value == value else []
     made = Value(value.version + 1, op.change.body, (*value.changes, op.change.id))
--- a/linedeal/lab/inprocess.py
+++ b/linedeal/lab/inprocess.py
@@ -83,17 +83,28 @@
     async def start_host(self, spec: HostSpec, young: bool) -> None:
         self.host_specs[spec.name] = spec
         boot = self.boots[spec.name] = self.boots.get(spec.name, 0) + 1
-        model = self.model(spec.name, spec.kind, self.day.cluster, spec.habits, boot,
-                           Random(f"{self.day.seed} {spec.name} {boot}"), anyio.current_time(), young)
-        server = self.servers[spec.name] = HostServer(model, self.memory, ("discovery", 1), f"{spec.name}:1",
-                                                      spec.zone, spec.cell)
+        model = self.model(
+            spec.name,
+            spec.kind,
+            self.day.cluster,
+            spec.habits,
+            boot,
+            Random(f"{self.day.seed} {spec.name} {boot}"),
+            anyio.current_time(),
+            young,
+        )
+        server = self.servers[spec.name] = HostServer(
+            model, self.memory, ("discovery", 1), f"{spec.name}:1", spec.zone, spec.cell
+        )
         await self.begin(spec.name, server.run)
 
     async def start_controller(self, spec: ControllerSpec) -> None:
         self.controllers[spec.name] = (spec.name, 1)
         store = Store(self.directory / spec.name)
         number = [c.name for c in self.day.controllers].index(spec.name)
-        setup = Setup(spec.name, self.day.cluster, (spec.name, 1), ("discovery", 1), self.day.seed * 100 + number)
+        setup = Setup(
+            spec.name, self.day.cluster, (spec.name, 1), ("discovery", 1), self.day.seed * 100 + number
+        )
         runtime = self.servers[spec.name] = self.runtime(setup, store, self.net, self.log, self.policy)
 
         async def run(_, *, task_status):
--- a/linedeal/lab/load.py
+++ b/linedeal/lab/load.py
@@ -13,9 +13,9 @@
 from linedeal.lab.day import Day, Stream
 from linedeal.net import Net
 
-TRIES = 4               # asks of one job, in all
-AGAIN = (0.3, 1.2)      # seconds before an owner asks again
-PATIENCE = 10.0         # seconds past a job's expiry after which its owner goes home
+TRIES = 4  # asks of one job, in all
+AGAIN = (0.3, 1.2)  # seconds before an owner asks again
+PATIENCE = 10.0  # seconds past a job's expiry after which its owner goes home
 
 
 @dataclass(slots=True)
@@ -40,16 +40,18 @@
 class Owners:
     """`part` of `parts`: of several processes that ask together, each for its share of the rates."""
 
-    def __init__(self, day: Day, net: Net, addresses: dict[str, tuple], tally: Tally, part: int = 0, parts: int = 1):
+    def __init__(
+        self, day: Day, net: Net, addresses: dict[str, tuple], tally: Tally, part: int = 0, parts: int = 1
+    ):
         self.day, self.net, self.addresses, self.tally = day, net, addresses, tally
         self.part, self.parts = part, parts
         self.random = Random(day.seed * 1000 + 1)
         self.links: dict[str, Client] = {}
-        self.owners: list[Owner] = []           # of sessions, one that begins at each controller
-        self.factor = 1.0                       # a burst
-        self.heavy: dict[str, float] = {}       # offering: times the usual size
-        self.favour: dict[str, float] = {}      # controller: share of all jobs that are asked of it
-        self.hot: dict[str, float] = {}         # offering: share of its jobs that are of its first service
+        self.owners: list[Owner] = []  # of sessions, one that begins at each controller
+        self.factor = 1.0  # a burst
+        self.heavy: dict[str, float] = {}  # offering: times the usual size
+        self.favour: dict[str, float] = {}  # controller: share of all jobs that are asked of it
+        self.hot: dict[str, float] = {}  # offering: share of its jobs that are of its first service
 
     async def run(self) -> None:
         """Asks for the length of the day, then waits until all is answered."""
@@ -74,7 +76,7 @@
                     while not client.lost:
                         await anyio.sleep(0.05)
             except ClientLost:
-                pass        # it is down; owners go to others meanwhile
+                pass  # it is down; owners go to others meanwhile
             finally:
                 self.links.pop(name, None)
             await anyio.sleep(0.1)
@@ -96,12 +98,21 @@
             size = self.heavy.get(stream.offering, 1.0)
             service = random.randrange(stream.services)
             if stream.offering in self.hot and random.random() < self.hot[stream.offering]:
-                service = 0     # drawn only then: other days stay as they were
-            ask = JobAsk(stream.offering, random.choice(stream.customers), f"{stream.offering}-{service}",
-                         round(random.uniform(*stream.cores) * size, 2),
-                         round(random.uniform(*stream.memory) * size, 2))
-            jobs.start_soon(self.see_through, self.own_in_session if stream.sessions else self.own, ask,
-                            Random(random.random()), at)
+                service = 0  # drawn only then: other days stay as they were
+            ask = JobAsk(
+                stream.offering,
+                random.choice(stream.customers),
+                f"{stream.offering}-{service}",
+                round(random.uniform(*stream.cores) * size, 2),
+                round(random.uniform(*stream.memory) * size, 2),
+            )
+            jobs.start_soon(
+                self.see_through,
+                self.own_in_session if stream.sessions else self.own,
+                ask,
+                Random(random.random()),
+                at,
+            )
 
     async def see_through(self, own, ask: JobAsk, random: Random, due: float) -> None:
         """`due`: when the job was to be asked, so that an owner who comes late counts its own delay too."""
@@ -117,7 +128,11 @@
             with anyio.move_on_after(expiry + 3 * PATIENCE):
                 key = await owner.submit(ask, within=expiry)
                 (standing,) = await owner.until([key], lambda standing: standing.answered)
-                end = standing.stage if standing.stage in ("rejected", "written off", "refused", "unknown") else "placed"
+                end = (
+                    standing.stage
+                    if standing.stage in ("rejected", "written off", "refused", "unknown")
+                    else "placed"
+                )
         except TurnedAway:
             end = "turned away"
         except TimeoutError:
@@ -144,7 +159,9 @@
             client = self.links[self.asked_of(names, random)]
             try:
                 end = "no answer"
-                with anyio.move_on_after(expiry + PATIENCE):    # a controller that owes it for ever is not waited for
+                with anyio.move_on_after(
+                    expiry + PATIENCE
+                ):  # a controller that owes it for ever is not waited for
                     end = (await client.submit(ask)).verdict
             except TurnedAway as error:
                 end = "turned away"
@@ -153,7 +170,7 @@
             except ClientLost as error:
                 end = "lost with its controller"
                 if error.taken and effect is not Effect.REDOABLE:
-                    break       # it may have run
+                    break  # it may have run
                 continue
             if end != "rejected" or anyio.current_time() > self.ends:
                 break
--- a/linedeal/lab/loadpart.py
+++ b/linedeal/lab/loadpart.py
@@ -23,12 +23,15 @@
         task_status.started((listen[0], 0))
         await self.begun.wait()
         await self.owners.run()
-        told = {"asked": self.tally.asked, "ends": self.tally.ends,
-                "delays": {name: found.encode().decode() for name, found in self.tally.delays.items()}}
+        told = {
+            "asked": self.tally.asked,
+            "ends": self.tally.ends,
+            "delays": {name: found.encode().decode() for name, found in self.tally.delays.items()},
+        }
         beside = self.record.with_name(self.record.name + ".new")
         beside.write_text(json.dumps(told))
         beside.replace(self.record)
-        await anyio.sleep_forever()     # until whoever started it ends it
+        await anyio.sleep_forever()  # until whoever started it ends it
 
     def control(self, order: dict) -> None:
         for name, value in order.items():
--- a/linedeal/lab/operating.py
+++ b/linedeal/lab/operating.py
@@ -10,8 +10,8 @@
 from linedeal.settings.cluster import read_cluster
 from linedeal.settings.records import Bounds
 
-WITHIN = 8.0            # seconds for each
-TRIES = 3               # while no majority answers
+WITHIN = 8.0  # seconds for each
+TRIES = 3  # while no majority answers
 WISHES = {"pause": Want.PAUSE, "resume": Want.RUN, "abort": Want.ABORT}
 
 
@@ -27,15 +27,21 @@
     async def begin(self, name: str, hosts: tuple[str, ...], bounds: dict[str, str]) -> Plan:
         mine = self.cluster.campaign.bounds
         kinds = {key: type(getattr(mine, key)) for key in bounds}
-        wanted = Bounds(**{key: kinds[key](bounds[key]) if key in bounds else getattr(mine, key)
-                           for key in mine.__dataclass_fields__})
+        wanted = Bounds(
+            **{
+                key: kinds[key](bounds[key]) if key in bounds else getattr(mine, key)
+                for key in mine.__dataclass_fields__
+            }
+        )
         async with self.asker() as asker:
             for left in reversed(range(TRIES)):
                 try:
                     known = (await operator.standing(asker, WITHIN)).plan if left < TRIES - 1 else None
                     if known is not None and known.id == name:
-                        return known        # it was made, and nobody could say so in time
-                    plan = operator.planned(name, await operator.hosts(asker, WITHIN), operator.Choice(hosts), wanted, mine)
+                        return known  # it was made, and nobody could say so in time
+                    plan = operator.planned(
+                        name, await operator.hosts(asker, WITHIN), operator.Choice(hosts), wanted, mine
+                    )
                     await operator.begin(asker, plan, WITHIN)
                     return plan
                 except operator.Unlearned:
--- a/linedeal/lab/play.py
+++ b/linedeal/lab/play.py
@@ -20,9 +20,10 @@
 from linedeal.policy import Controller
 from linedeal.standin.model import HostModel
 
-PROGRESS = 5.0      # seconds between two lines of progress
-QUIET = structlog.wrap_logger(structlog.PrintLogger(), wrapper_class=structlog.make_filtering_bound_logger(
-    logging.CRITICAL))
+PROGRESS = 5.0  # seconds between two lines of progress
+QUIET = structlog.wrap_logger(
+    structlog.PrintLogger(), wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
+)
 
 
 async def play(day: Day, ground, net, say: Callable[[str], None]) -> Tally:
@@ -40,7 +41,9 @@
                 for end, count in by_end.items():
                     ends[end] = ends.get(end, 0) + count
             said = ", ".join(f"{count} {end}" for end, count in sorted(ends.items()))
-            say(f"{anyio.current_time() - begun:6.1f}  {sum(tally.asked.values())} asked: {said or 'none ended'}")
+            say(
+                f"{anyio.current_time() - begun:6.1f}  {sum(tally.asked.values())} asked: {said or 'none ended'}"
+            )
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(progress)
@@ -61,7 +64,9 @@
     return tally, read_record(directory / "traffic.jsonl")
 
 
-def in_memory(day: Day, work: Callable[[InProcess], Awaitable], policy=Controller, runtime=Stallable, model=HostModel):
+def in_memory(
+    day: Day, work: Callable[[InProcess], Awaitable], policy=Controller, runtime=Stallable, model=HostModel
+):
     """What `work(ground)` returns, with the day's cluster standing in this process on trio's mock clock. The same day,
     seed and work give the same course."""
     # trio shuffles tasks that are ready at once; seeded, it does so the same way each time
@@ -76,8 +81,11 @@
     return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def play_in_memory(day: Day, say=lambda line: None, policy=Controller, runtime=Stallable) -> tuple[Tally, list[Entry]]:
+def play_in_memory(
+    day: Day, say=lambda line: None, policy=Controller, runtime=Stallable
+) -> tuple[Tally, list[Entry]]:
     """The day's load and orders, in memory. The same day and seed give the same record."""
+
     async def work(ground):
         tally = await play(day, ground, ground.net, say)
         return tally, ground.recorder.entries
--- a/linedeal/lab/playground.py
+++ b/linedeal/lab/playground.py
@@ -6,7 +6,7 @@
 
 
 class Playground(Protocol):
-    controllers: dict[str, tuple]       # name: the address at which clients reach it
+    controllers: dict[str, tuple]  # name: the address at which clients reach it
     host_specs: dict[str, HostSpec]
 
     async def start_host(self, spec: HostSpec, young: bool) -> None: ...
--- a/linedeal/lab/processes.py
+++ b/linedeal/lab/processes.py
@@ -19,9 +19,9 @@
 from linedeal.lab.operating import Operator
 from linedeal.net import parse_address
 
-READY = 20.0        # seconds for a process to say where it listens
-SEATS = 20000, 32000    # ports for the council, which are known before their process starts
-STARTS = 5          # tries, where its port is still taken
+READY = 20.0  # seconds for a process to say where it listens
+SEATS = 20000, 32000  # ports for the council, which are known before their process starts
+STARTS = 5  # tries, where its port is still taken
 
 
 def free_port() -> int:
@@ -33,7 +33,7 @@
                 held.bind(("127.0.0.1", port))
                 return port
             except OSError:
-                continue        # taken: another
+                continue  # taken: another
 
 
 class ProcessFault(Exception):
@@ -47,16 +47,16 @@
         self.day, self.directory = day, directory
         self.running: dict[str, anyio.abc.Process] = {}
         self.commands: dict[str, list[str]] = {}
-        self.ports: dict[str, str] = {}         # where each really listens
-        self.routes: dict[str, str] = {}        # and where the tap listens for it
+        self.ports: dict[str, str] = {}  # where each really listens
+        self.routes: dict[str, str] = {}  # and where the tap listens for it
         self.controllers: dict[str, tuple] = {}
         self.host_specs: dict[str, HostSpec] = {}
         self.boots: dict[str, int] = {}
         self.tap_answers: dict[str, str] = {}
         self.tap_told = anyio.Event()
         self.cluster_path = day.cluster_path
-        self.seats: dict[str, str] = {}         # where each member's council really listens
-        self.replacing: set[tuple[str, int]] = set()    # hosts and boots that the tool is at
+        self.seats: dict[str, str] = {}  # where each member's council really listens
+        self.replacing: set[tuple[str, int]] = set()  # hosts and boots that the tool is at
 
     async def __aenter__(self):
         self.directory.mkdir(parents=True, exist_ok=True)
@@ -70,7 +70,7 @@
                     starting.start_soon(self.start_host, spec, False)
             await self.seat_council()
             await self.start_tool()
-            await anyio.sleep(1.0)      # the first list is whole before a controller asks for it
+            await anyio.sleep(1.0)  # the first list is whole before a controller asks for it
             async with anyio.create_task_group() as starting:
                 for spec in self.day.controllers:
                     starting.start_soon(self.start_controller, spec)
@@ -106,8 +106,12 @@
         for _ in range(STARTS):
             with open(log, "ab") as errors:
                 process = await anyio.open_process(
-                    [sys.executable, "-m", "linedeal", *command], stdin=subprocess.PIPE, stdout=subprocess.PIPE,
-                    stderr=errors, start_new_session=True)      # a Ctrl-C is ours to pass on
+                    [sys.executable, "-m", "linedeal", *command],
+                    stdin=subprocess.PIPE,
+                    stdout=subprocess.PIPE,
+                    stderr=errors,
+                    start_new_session=True,
+                )  # a Ctrl-C is ours to pass on
             self.running[name] = process
             line = b""
             with anyio.move_on_after(READY):
@@ -163,8 +167,17 @@
 
     async def start_tool(self) -> None:
         if self.day.cluster.campaign.tool is not None:
-            await self.run("tool", ["tool", "--cluster", self.day.cluster_path, "--state",
-                                    str(self.directory / "tool"), "--control"])
+            await self.run(
+                "tool",
+                [
+                    "tool",
+                    "--cluster",
+                    self.day.cluster_path,
+                    "--state",
+                    str(self.directory / "tool"),
+                    "--control",
+                ],
+            )
             await self.order("tool", {"boots": self.boots})
             self.put_in_place(self.day.cluster.campaign.tool, self.routes["tool"])
 
@@ -200,17 +213,53 @@
         await self.order(spec.name, {"advertise": self.routes[spec.name]})
 
     def host_command(self, spec: HostSpec, young: bool) -> list[str]:
-        return ["host", "--name", spec.name, "--kind", spec.kind, "--zone", spec.zone, "--cell", str(spec.cell),
-                "--cluster", self.day.cluster_path, "--discovery", self.ports["discovery"], "--seed",
-                str(self.day.seed), "--boot", str(self.boots[spec.name]), "--habits", json.dumps(asdict(spec.habits)),
-                "--fence", str(self.directory / f"{spec.name}.fence"), "--control", *(["--young"] if young else [])]
+        return [
+            "host",
+            "--name",
+            spec.name,
+            "--kind",
+            spec.kind,
+            "--zone",
+            spec.zone,
+            "--cell",
+            str(spec.cell),
+            "--cluster",
+            self.day.cluster_path,
+            "--discovery",
+            self.ports["discovery"],
+            "--seed",
+            str(self.day.seed),
+            "--boot",
+            str(self.boots[spec.name]),
+            "--habits",
+            json.dumps(asdict(spec.habits)),
+            "--fence",
+            str(self.directory / f"{spec.name}.fence"),
+            "--control",
+            *(["--young"] if young else []),
+        ]
 
     async def start_controller(self, spec: ControllerSpec) -> None:
-        await self.run(spec.name, [
-            "controller", "--name", spec.name, "--cluster", self.cluster_path, "--discovery",
-            self.routes["discovery"], "--state", str(self.directory / spec.name), "--seed", str(self.day.seed),
-            "--json", "--control", *(["--council-listen", self.seats[spec.name]] if spec.name in self.seats else []),
-            *(["--clock", str(spec.clock)] if spec.clock != 1.0 else [])])
+        await self.run(
+            spec.name,
+            [
+                "controller",
+                "--name",
+                spec.name,
+                "--cluster",
+                self.cluster_path,
+                "--discovery",
+                self.routes["discovery"],
+                "--state",
+                str(self.directory / spec.name),
+                "--seed",
+                str(self.day.seed),
+                "--json",
+                "--control",
+                *(["--council-listen", self.seats[spec.name]] if spec.name in self.seats else []),
+                *(["--clock", str(spec.clock)] if spec.clock != 1.0 else []),
+            ],
+        )
         self.controllers[spec.name] = parse_address(self.routes[spec.name])
 
     # -- what a day does
@@ -243,7 +292,9 @@
             await process.stdin.send(json.dumps(order).encode() + b"\n")
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             if name == "tap" or process.returncode is None:
-                raise ProcessFault(f"{name} takes no orders any more, see {self.directory / name}.log") from None
+                raise ProcessFault(
+                    f"{name} takes no orders any more, see {self.directory / name}.log"
+                ) from None
 
     async def cut(self, pairs: Iterable[tuple[str, str]], on: bool) -> None:
         await self.order("tap", {"cut" if on else "heal": list(pairs)})
--- a/linedeal/lab/record.py
+++ b/linedeal/lab/record.py
@@ -11,15 +11,15 @@
 class Entry(msgspec.Struct, omit_defaults=True, frozen=True):
     """`e`: open, data, end, or mark (something done to a process or the network from outside)."""
 
-    t: float                    # seconds on the recorder's clock
+    t: float  # seconds on the recorder's clock
     e: str
     link: int = 0
-    to: str = ""                # open: the name of what listens there
-    d: str = ""                 # data and end: ">" towards it, "<" back
-    b: str = ""                 # data: base64
-    held: bool = False          # data: kept by a cut when it came, so it may never have got through
-    what: str = ""              # mark
-    who: str = ""               # mark
+    to: str = ""  # open: the name of what listens there
+    d: str = ""  # data and end: ">" towards it, "<" back
+    b: str = ""  # data: base64
+    held: bool = False  # data: kept by a cut when it came, so it may never have got through
+    what: str = ""  # mark
+    who: str = ""  # mark
 
 
 class Recorder:
--- a/linedeal/lab/relay.py
+++ b/linedeal/lab/relay.py
@@ -19,25 +19,29 @@
 class Weather:
     """What goes wrong; seconds of true time, rates and shares from 0 to 1."""
 
-    drift: float = 0.05         # clocks run up to this much faster or slower
-    delay: float = 0.3          # of a word, at most
+    drift: float = 0.05  # clocks run up to this much faster or slower
+    delay: float = 0.3  # of a word, at most
     lost: float = 0.1
-    freezes: float = 0.03       # a second and controller
-    frozen: float = 12.0        # longest
-    cuts: float = 0.03          # from the council, not from the host
+    freezes: float = 0.03  # a second and controller
+    frozen: float = 12.0  # longest
+    cuts: float = 0.03  # from the council, not from the host
     cut: float = 12.0
-    gaps: float = 0.3           # effects whose sender is frozen between its check and its send
-    hands: float = 0.02         # an owner hands over, a second
+    gaps: float = 0.3  # effects whose sender is frozen between its check and its send
+    hands: float = 0.02  # an owner hands over, a second
 
 
 @dataclass(slots=True)
 class Course:
     """What happened."""
 
-    carried: list[tuple[float, str, int, int]] = field(default_factory=list)    # time, who, token, step of the work
+    carried: list[tuple[float, str, int, int]] = field(
+        default_factory=list
+    )  # time, who, token, step of the work
     refused: int = 0
-    owners: int = 0             # changes of owner
-    gaps: list[float] = field(default_factory=list)     # seconds from an owner's last effect to the next one's first
+    owners: int = 0  # changes of owner
+    gaps: list[float] = field(
+        default_factory=list
+    )  # seconds from an owner's last effect to the next one's first
     faults: list[str] = field(default_factory=list)
 
 
@@ -53,19 +57,26 @@
 
 
 class Relay:
-    def __init__(self, seed: int, controllers: int = 4, weather: Weather = Weather(),
-                 timing: LeaseTiming = LeaseTiming()):
+    def __init__(
+        self,
+        seed: int,
+        controllers: int = 4,
+        weather: Weather = Weather(),
+        timing: LeaseTiming = LeaseTiming(),
+    ):
         self.random = random.Random(seed)
         self.weather, self.now, self.events, self.number = weather, 0.0, [], 0
         self.value, self.fence, self.course = Value(), Fence(), Course()
         self.holders: dict[str, Holder] = {}
         self.clocks: dict[str, Clock] = {}
-        self.steps: dict[str, int] = {}         # the next step of the work, as each owner knows it
+        self.steps: dict[str, int] = {}  # the next step of the work, as each owner knows it
         for number in range(controllers):
             name = f"n{number}"
             rate = 1 + self.random.uniform(-weather.drift, weather.drift)
             self.clocks[name] = Clock(rate, self.random.uniform(0, 1000))
-            self.holders[name] = Holder("work", name, True, self.random.random, self.clocks[name].read(0.0), timing)
+            self.holders[name] = Holder(
+                "work", name, True, self.random.random, self.clocks[name].read(0.0), timing
+            )
             self.after(0.0, self.turn, name)
             self.after(0.2, self.act, name)
             self.after(1.0, self.trouble, name)
@@ -82,8 +93,12 @@
         heapq.heappush(self.events, (self.now + seconds, self.number, what, arguments))
 
     def watch(self) -> None:
-        acting = [name for name, holder in self.holders.items() if self.now >= self.clocks[name].frozen_until
-                  and holder.may_act(self.clocks[name].read(self.now)) is not None]
+        acting = [
+            name
+            for name, holder in self.holders.items()
+            if self.now >= self.clocks[name].frozen_until
+            and holder.may_act(self.clocks[name].read(self.now)) is not None
+        ]
         if len(acting) > 1:
             self.course.faults.append(f"{' and '.join(acting)} act at once at {self.now:.3f}")
 
@@ -109,7 +124,7 @@
             if type(one) is Ask and self.passes(name):
                 self.after(self.delay(), self.change, name, one)
                 if self.random.random() < 0.1:
-                    self.after(self.delay(), self.change, name, one)        # doubled
+                    self.after(self.delay(), self.change, name, one)  # doubled
             elif type(one) is Gained:
                 self.steps[name] = int(one.progress or b"0")
                 self.course.owners += 1
@@ -143,7 +158,9 @@
         if token is not None and name in self.steps:
             step = self.steps[name]
             if self.random.random() < self.weather.gaps * 0.1:
-                clock.frozen_until = max(clock.frozen_until, self.now + self.random.uniform(0, self.weather.frozen))
+                clock.frozen_until = max(
+                    clock.frozen_until, self.now + self.random.uniform(0, self.weather.frozen)
+                )
             self.send(name, token, step)
             self.steps[name] += 1
             self.carry_out(name, holder.record(b"%d" % self.steps[name], clock.read(self.now)))
@@ -174,12 +191,17 @@
     def trouble(self, name: str) -> None:
         clock, chance = self.clocks[name], self.random.random
         if chance() < self.weather.freezes:
-            clock.frozen_until = max(clock.frozen_until, self.now + self.random.uniform(1, self.weather.frozen))
+            clock.frozen_until = max(
+                clock.frozen_until, self.now + self.random.uniform(1, self.weather.frozen)
+            )
         if chance() < self.weather.cuts:
             clock.cut_until = max(clock.cut_until, self.now + self.random.uniform(1, self.weather.cut))
         holder = self.holders[name]
-        if chance() < self.weather.hands and holder.may_act(clock.read(self.now)) is not None \
-                and self.now >= clock.frozen_until:
+        if (
+            chance() < self.weather.hands
+            and holder.may_act(clock.read(self.now)) is not None
+            and self.now >= clock.frozen_until
+        ):
             heir = self.random.choice([""] + [other for other in self.holders if other != name])
             self.carry_out(name, holder.resign(clock.read(self.now), heir))
         self.after(1.0, self.trouble, name)
--- a/linedeal/lab/releases.py
+++ b/linedeal/lab/releases.py
@@ -23,13 +23,13 @@
 class Trouble:
     """What goes wrong: chances a step, shares, seconds."""
 
-    dies: float = 0.05          # the owner, at any of its steps
-    wakes: float = 0.5          # share of dead owners that were only frozen, and send what they had begun
-    lost: float = 0.1           # orders and answers
-    late: float = 6.0           # orders, at most
-    deaths: float = 0.004       # a host, by itself
-    down: float = 8.0           # seconds for which it is gone, at most
-    hands: float = 0.002        # a host drained by another hand, and replaced by it
+    dies: float = 0.05  # the owner, at any of its steps
+    wakes: float = 0.5  # share of dead owners that were only frozen, and send what they had begun
+    lost: float = 0.1  # orders and answers
+    late: float = 6.0  # orders, at most
+    deaths: float = 0.004  # a host, by itself
+    down: float = 8.0  # seconds for which it is gone, at most
+    hands: float = 0.002  # a host drained by another hand, and replaced by it
     list_late: float = 2.0
 
 
@@ -38,11 +38,11 @@
     name: str
     boot: int = 1
     began: float = -1000.0
-    by_campaign: bool = False   # gone by the tool's hand
-    back: float = 0.0           # gone until then
+    by_campaign: bool = False  # gone by the tool's hand
+    back: float = 0.0  # gone until then
     draining: bool = False
-    other: bool = False         # by another hand
-    jobs: list[tuple[float, bool]] = field(default_factory=list)    # over when, irreversible
+    other: bool = False  # by another hand
+    jobs: list[tuple[float, bool]] = field(default_factory=list)  # over when, irreversible
     fence: Fence = Fence()
 
 
@@ -56,7 +56,7 @@
     refused: int = 0
     owners: int = 1
     most: int = 0
-    lost: int = 0               # jobs that a replacement took with it
+    lost: int = 0  # jobs that a replacement took with it
     ended: float = 0.0
     progress: Progress = Progress()
 
@@ -64,8 +64,14 @@
 class Releases:
     """`course` is the owner's class, so that guards can be taken out of it."""
 
-    def __init__(self, seed: int, hosts: int = 12, bounds: Bounds = Bounds(most=3, cells=2, room=0.5, patience=20.0,
-                 warm=3.0, away=40.0), trouble: Trouble = Trouble(), course=Campaigner):
+    def __init__(
+        self,
+        seed: int,
+        hosts: int = 12,
+        bounds: Bounds = Bounds(most=3, cells=2, room=0.5, patience=20.0, warm=3.0, away=40.0),
+        trouble: Trouble = Trouble(),
+        course=Campaigner,
+    ):
         self.random, self.trouble, self.course_of = random.Random(seed), trouble, course
         self.hosts = {f"h{i:02}": SimHost(f"h{i:02}") for i in range(hosts)}
         fleet = {name: ("std" if place % 3 else "press", place // 4) for place, name in enumerate(self.hosts)}
@@ -87,7 +93,11 @@
                 call(*arguments)
             self.own()
         self.course.ended = self.now
-        if not self.course.progress.ended and not self.course.progress.stands and not self.course.progress.out:
+        if (
+            not self.course.progress.ended
+            and not self.course.progress.stands
+            and not self.course.progress.out
+        ):
             self.course.faults.append("it neither ended nor says why it stands")
         return self.course
 
@@ -110,9 +120,19 @@
             elif not host.draining and chance() < self.trouble.hands:
                 host.draining = host.other = True
                 self.after(self.random.uniform(3, 15), self.other_hand, host, host.boot)
-        self.lists.append((self.now, {host.name: Seen(
-            Mode.GONE if host.back > self.now else Mode.DRAINS if host.draining else Mode.SERVES, host.boot,
-            self.now - host.began) for host in self.hosts.values()}))
+        self.lists.append(
+            (
+                self.now,
+                {
+                    host.name: Seen(
+                        Mode.GONE if host.back > self.now else Mode.DRAINS if host.draining else Mode.SERVES,
+                        host.boot,
+                        self.now - host.began,
+                    )
+                    for host in self.hosts.values()
+                },
+            )
+        )
         while len(self.lists) > 2 and self.lists[1][0] <= self.now - self.trouble.list_late:
             self.lists.pop(0)
 
@@ -139,7 +159,7 @@
             self.judge_plan(after, seen)
             self.register = campaign.encoded(after)
             self.course.progress = after
-            if self.dies(owner, token, []):     # written, and its owner never heard of it
+            if self.dies(owner, token, []):  # written, and its owner never heard of it
                 return
             owner.written(after, self.now)
         orders = owner.orders()
@@ -184,14 +204,19 @@
         if order.kind is Kind.DRAIN and host.back > self.now:
             return
         try:
-            host.fence = host.fence.passed("campaign", token)   # the tool keeps its own, a host each here
+            host.fence = host.fence.passed("campaign", token)  # the tool keeps its own, a host each here
         except Refusal:
             self.course.refused += 1
             return
         if order.kind is Kind.DRAIN:
             self.drain(host, order)
-            reply = Reply(host.boot == order.boot, host.boot, host.draining, len(host.jobs),
-                          sum(irreversible for _, irreversible in host.jobs))
+            reply = Reply(
+                host.boot == order.boot,
+                host.boot,
+                host.draining,
+                len(host.jobs),
+                sum(irreversible for _, irreversible in host.jobs),
+            )
         else:
             reply = self.replace(host, order)
         for _ in range(self.copies()):
@@ -209,8 +234,11 @@
         host.draining = True
         self.course.drains.append((self.now, host.name, host.boot))
         # by the campaign alone: of deaths it knew as it planned, and an order may come late
-        out = [other.name for other in self.hosts.values()
-               if other.draining and not other.other or other.back > self.now and other.by_campaign]
+        out = [
+            other.name
+            for other in self.hosts.values()
+            if other.draining and not other.other or other.back > self.now and other.by_campaign
+        ]
         self.course.most = max(self.course.most, len(out))
         if len(out) > self.mine.most:
             self.course.faults.append(f"{len(out)} are out at {self.now:g}: {', '.join(out)}")
@@ -221,7 +249,9 @@
             if order.boot not in begun:
                 self.course.replaced.setdefault(host.name, []).append(order.boot)
             if any(irreversible for _, irreversible in host.jobs) and host.back <= self.now:
-                self.course.faults.append(f"{host.name} is replaced under an irreversible job at {self.now:g}")
+                self.course.faults.append(
+                    f"{host.name} is replaced under an irreversible job at {self.now:g}"
+                )
             self.course.lost += len(host.jobs)
             self.start(host, 2.0)
             host.by_campaign = True
@@ -232,4 +262,3 @@
 
 def played(seeds, seconds: float = 900.0, **settings) -> list[Course]:
     return [Releases(seed, **settings).play(seconds) for seed in seeds]
-
--- a/linedeal/lab/report.py
+++ b/linedeal/lab/report.py
@@ -11,9 +11,9 @@
 from linedeal.lab.day import Day
 from linedeal.protocol import pb
 
-SHOWN = 3       # breaches of a rule that are shown
-DUE = 0.25      # share of a job's expiry within which a start counts as punctual
-START = 4.0     # seconds of full service that a punctual start is worth
+SHOWN = 3  # breaches of a rule that are shown
+DUE = 0.25  # share of a job's expiry within which a start counts as punctual
+START = 4.0  # seconds of full service that a punctual start is worth
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,10 +41,19 @@
             started = min((launch.started for launch in job.launches), default=NEVER)
             if started < NEVER:
                 delays.record_value(max(1, round((started - job.taken) * 1000)))
-        found.append(Row(
-            offering, len(jobs), verdicts.count(pb.PLACED), verdicts.count(pb.REJECTED),
-            verdicts.count(pb.WRITTEN_OFF), verdicts.count(None), sum(len(job.launches) for job in jobs) / len(jobs),
-            delays.get_value_at_percentile(50) / 1000, delays.get_value_at_percentile(99) / 1000))
+        found.append(
+            Row(
+                offering,
+                len(jobs),
+                verdicts.count(pb.PLACED),
+                verdicts.count(pb.REJECTED),
+                verdicts.count(pb.WRITTEN_OFF),
+                verdicts.count(None),
+                sum(len(job.launches) for job in jobs) / len(jobs),
+                delays.get_value_at_percentile(50) / 1000,
+                delays.get_value_at_percentile(99) / 1000,
+            )
+        )
     return found
 
 
@@ -60,7 +69,9 @@
     launches = [launch for launch in traffic.launches.values() if launch in served]
     if not launches:
         return 0.0
-    value = sum(served[launch] * launch.job.cores * offerings[launch.job.offering].value for launch in launches)
+    value = sum(
+        served[launch] * launch.job.cores * offerings[launch.job.offering].value for launch in launches
+    )
     sizes: dict[str, list[float]] = {}
     for job in traffic.jobs.values():
         sizes.setdefault(job.offering, []).append(job.cores)
@@ -68,8 +79,11 @@
         if started <= job.taken + DUE * offerings[job.offering].expiry:
             value += START * job.cores * offerings[job.offering].value
     mean = sum(seconds.values()) / len(seconds)
-    whole = sum(offerings[name].value * count * (mean + START) * sum(sizes[name]) / len(sizes[name])
-                for name, count in asked.items() if name in sizes)
+    whole = sum(
+        offerings[name].value * count * (mean + START) * sum(sizes[name]) / len(sizes[name])
+        for name, count in asked.items()
+        if name in sizes
+    )
     return min(1.0, value / whole)
 
 
@@ -107,21 +121,47 @@
 def lines(traffic: Traffic, breaches: list[Breach], of_duties: list[DutyBreach] = ()) -> list[str]:
     """The closing table, and each rule kept or broken; claims of duties where any was at work."""
     form = "{:<16}{:>7}{:>8}{:>10}{:>13}{:>12}{:>10}{:>12}{:>10}"
-    out = [form.format("offering", "taken", "placed", "rejected", "written off", "unanswered", "launches",
-                       "start med s", "p99 s")]
+    out = [
+        form.format(
+            "offering",
+            "taken",
+            "placed",
+            "rejected",
+            "written off",
+            "unanswered",
+            "launches",
+            "start med s",
+            "p99 s",
+        )
+    ]
     for row in rows(traffic):
-        out.append(form.format(row.offering, row.taken, row.placed, row.rejected, row.written_off, row.unanswered,
-                               f"{row.launches:.2f}", f"{row.delay_median:.3f}", f"{row.delay_p99:.3f}"))
+        out.append(
+            form.format(
+                row.offering,
+                row.taken,
+                row.placed,
+                row.rejected,
+                row.written_off,
+                row.unanswered,
+                f"{row.launches:.2f}",
+                f"{row.delay_median:.3f}",
+                f"{row.delay_p99:.3f}",
+            )
+        )
     out.append("")
     for rule, text in RULES.items():
         out += verdict(f"rule {rule}", text, [breach for breach in breaches if breach.rule == rule])
     if traffic.orders or traffic.changes:
         for claim, text in CLAIMS.items():
-            out += verdict(f"duties, {claim}", text, [breach for breach in of_duties if breach.claim == claim])
+            out += verdict(
+                f"duties, {claim}", text, [breach for breach in of_duties if breach.claim == claim]
+            )
         out += [f"campaign {counted(plan, progress)}" for plan, progress in campaigns(traffic)]
     return out
 
 
 def verdict(name: str, text: str, broken: list) -> list[str]:
-    return [f"{name} {'BROKEN' if broken else 'kept'}: {text}" + (f" ({len(broken)} times)" if broken else ""),
-            *(f"    {breach.t:.3f}  {breach.text}" for breach in broken[:SHOWN])]
+    return [
+        f"{name} {'BROKEN' if broken else 'kept'}: {text}" + (f" ({len(broken)} times)" if broken else ""),
+        *(f"    {breach.t:.3f}  {breach.text}" for breach in broken[:SHOWN]),
+    ]
