--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -8,8 +8,22 @@
 from linedeal.audit import gather
 from linedeal.audit.duties import judge_duties
 from linedeal.duties import campaign, duty
-from linedeal.duties.campaign import (Bounds, Look, Mode, Plan, Progress, Seen, Stage, Turn, View, Want, batches, checked,
-                                      decide, drawn)
+from linedeal.duties.campaign import (
+    Bounds,
+    Look,
+    Mode,
+    Plan,
+    Progress,
+    Seen,
+    Stage,
+    Turn,
+    View,
+    Want,
+    batches,
+    checked,
+    decide,
+    drawn,
+)
 from linedeal.duties.campaigner import Campaigner, Kind, Reply
 from linedeal.duties.census import Census
 from linedeal.duties.duty import Duty, Refusal
@@ -42,6 +56,7 @@
 
 # --- what may be done next
 
+
 def test_hosts_go_out_cell_by_cell_up_to_the_bounds():
     progress = decide(plan(), Progress(), BOUNDS, view())
     assert out(progress) == {"a": Stage.DRAINS, "b": Stage.DRAINS} and not progress.stands
@@ -75,11 +90,18 @@
     assert out(progress).keys() == {"a", "b", "p"}, "2 of 5 std, 1 of 2 press"
 
 
-@pytest.mark.parametrize("look, spent, after", [
-    (None, 100.0, Stage.DRAINS), (Look(1, False, 0, 0), 0.0, Stage.DRAINS), (Look(1, True, 3, 0), 5.0, Stage.DRAINS),
-    (Look(1, True, 0, 0), 0.0, Stage.REPLACES), (Look(1, True, 3, 0), 20.0, Stage.REPLACES),
-    (Look(1, True, 3, 1), 1e6, Stage.DRAINS)], ids=["never heard", "not draining", "has work", "empty", "patience over",
-                                                     "irreversible"])
+@pytest.mark.parametrize(
+    "look, spent, after",
+    [
+        (None, 100.0, Stage.DRAINS),
+        (Look(1, False, 0, 0), 0.0, Stage.DRAINS),
+        (Look(1, True, 3, 0), 5.0, Stage.DRAINS),
+        (Look(1, True, 0, 0), 0.0, Stage.REPLACES),
+        (Look(1, True, 3, 0), 20.0, Stage.REPLACES),
+        (Look(1, True, 3, 1), 1e6, Stage.DRAINS),
+    ],
+    ids=["never heard", "not draining", "has work", "empty", "patience over", "irreversible"],
+)
 def test_a_drain_lasts_until_its_work_or_patience_is_over_and_irreversible_work_always(look, spent, after):
     begun = Progress("r1", (Turn("a", Stage.DRAINS, 1, spent),))
     looks = {} if look is None else {"a": look}
@@ -93,7 +115,9 @@
         gone = replace(view(a=Mode.GONE), looks=held, silent={"a": silent})
         assert out(decide(plan(), begun, BOUNDS, gone))["a"] is stage
     answers = replace(view(a=Mode.DRAINS), looks=held, silent={"a": 1e6})
-    assert out(decide(plan(), begun, BOUNDS, answers))["a"] is Stage.DRAINS, "listed: it may be cut off from here alone"
+    assert out(decide(plan(), begun, BOUNDS, answers))["a"] is Stage.DRAINS, (
+        "listed: it may be cut off from here alone"
+    )
 
 
 def test_a_host_that_came_back_by_itself_drains_in_its_new_life_and_stays_out_meanwhile():
@@ -101,7 +125,9 @@
     back = replace(view(a=Seen(Mode.SERVES, 2, 3.0)), looks={"a": Look(2, False, 1, 0)})
     assert decide(plan(), begun, BOUNDS, back).out[0] == Turn("a", Stage.DRAINS, 2)
     found = Progress("r1", (Turn("a", Stage.REPLACES, 1),))
-    assert decide(plan(), found, BOUNDS, replace(view(), others={"a": 7})).out[0] == Turn("a", Stage.DRAINS, 7)
+    assert decide(plan(), found, BOUNDS, replace(view(), others={"a": 7})).out[0] == Turn(
+        "a", Stage.DRAINS, 7
+    )
 
 
 def test_a_successor_counts_once_it_serves_and_is_warm_and_the_tool_said_so():
@@ -109,8 +135,12 @@
     warm, young = Seen(Mode.SERVES, 2, 5.0), Seen(Mode.SERVES, 2, 4.9)
     told = frozenset({("a", 1)})
     assert decide(plan(), begun, BOUNDS, replace(view(a=warm), replaced=told)).done == (0,)
-    for stands, replaced in ((young, told), (warm, frozenset()), (Seen(Mode.SERVES, 1, 99.0), told),
-                             (Seen(Mode.DRAINS, 2, 99.0), told)):
+    for stands, replaced in (
+        (young, told),
+        (warm, frozenset()),
+        (Seen(Mode.SERVES, 1, 99.0), told),
+        (Seen(Mode.DRAINS, 2, 99.0), told),
+    ):
         after = decide(plan(), begun, BOUNDS, replace(view(a=stands), replaced=replaced))
         assert not after.done and out(after)["a"] is Stage.REPLACES
 
@@ -128,25 +158,39 @@
 
 
 def test_it_pauses_by_itself_on_strain_or_an_old_view_and_says_why():
-    for changed in ({"strained": "40% of launches were turned away"}, {"blind": "the list of hosts is 20 s old"}):
+    for changed in (
+        {"strained": "40% of launches were turned away"},
+        {"blind": "the list of hosts is 20 s old"},
+    ):
         after = decide(plan(), Progress(), BOUNDS, replace(view(), **changed))
         assert not after.out and after.stands == next(iter(changed.values()))
 
 
 def test_it_goes_on_without_hosts_that_stay_away_and_names_them_at_its_end():
     rest = Progress("r1", (), (0, 1, 2, 3))
-    assert decide(plan(), rest, BOUNDS, replace(view(e=Mode.GONE), absent=29.0)).stands == "e waits: is not there"
+    assert (
+        decide(plan(), rest, BOUNDS, replace(view(e=Mode.GONE), absent=29.0)).stands
+        == "e waits: is not there"
+    )
     left = decide(plan(), rest, BOUNDS, replace(view(e=Mode.DRAINS), absent=30.0))
     assert left.left == {4: "drains by another hand"}
     ended = decide(plan(), left, BOUNDS, view())
     assert ended.ended == "done" and "left out: e drains by another hand" in campaign.counted(plan(), ended)
 
 
-@pytest.mark.parametrize("bounds, fleet, said", [
-    (replace(BOUNDS, room=0.1), FLEET, "kind std: one of its 5 hosts is 20% of its room, 10% may be out at once"),
-    (BOUNDS, {}, "it names no host"),
-    (BOUNDS, {f"host-with-a-long-name-{n:04}": ("std", n) for n in range(400)}, "a register holds 8192"),
-], ids=["room", "none", "size"])
+@pytest.mark.parametrize(
+    "bounds, fleet, said",
+    [
+        (
+            replace(BOUNDS, room=0.1),
+            FLEET,
+            "kind std: one of its 5 hosts is 20% of its room, 10% may be out at once",
+        ),
+        (BOUNDS, {}, "it names no host"),
+        (BOUNDS, {f"host-with-a-long-name-{n:04}": ("std", n) for n in range(400)}, "a register holds 8192"),
+    ],
+    ids=["room", "none", "size"],
+)
 def test_a_plan_that_could_not_be_carried_out_is_refused(bounds, fleet, said):
     with pytest.raises(Refusal, match=said.replace("(", "\\(")):
         checked(plan(bounds, fleet=fleet), View({}))
@@ -160,31 +204,55 @@
 
 
 def test_an_operators_choice_takes_hosts_that_fit_all_of_it_and_names_those_that_are_not_there():
-    hosts = HostsNow({f"h{n}": HostNow("std" if n % 2 else "press", "ab"[n // 4], n // 2, Mode.SERVES, 1, 9.0, "")
-                      for n in range(8)})
+    hosts = HostsNow(
+        {
+            f"h{n}": HostNow("std" if n % 2 else "press", "ab"[n // 4], n // 2, Mode.SERVES, 1, 9.0, "")
+            for n in range(8)
+        }
+    )
     wide = replace(BOUNDS, room=1.0)
     assert planned("r", hosts, Choice(kinds=("std",), zones=("a",)), wide, wide).targets == ("h1", "h3")
     assert planned("r", hosts, Choice(cells=(0, 3)), wide, wide).targets == ("h0", "h1", "h6", "h7")
-    assert planned("r", hosts, Choice(("h1",)), replace(wide, most=9), wide).bounds.most == 2, "the cluster file's"
+    assert planned("r", hosts, Choice(("h1",)), replace(wide, most=9), wide).bounds.most == 2, (
+        "the cluster file's"
+    )
     with pytest.raises(Refusal, match="h9"):
         planned("r", hosts, Choice(("h1", "h9")), wide, wide)
 
 
-@pytest.mark.parametrize("line, said", [
-    ('tool = "here"', "campaign: tool: 'here' is not HOST:PORT"), ('tool = "a:1"\n most = 0', "most is 0, 1 at least"),
-    ('tool = "a:1"\n room = 1.5', "room is 1.5, over 0 and up to 1"), ('tool = "a:1"\n warm = -1', "warm is -1, 0 at least"),
-    ('tool = "a:1"\n mots = 3', "unknown key mots, the nearest known is most"), ("most = 3", "tool is missing")])
+@pytest.mark.parametrize(
+    "line, said",
+    [
+        ('tool = "here"', "campaign: tool: 'here' is not HOST:PORT"),
+        ('tool = "a:1"\n most = 0', "most is 0, 1 at least"),
+        ('tool = "a:1"\n room = 1.5', "room is 1.5, over 0 and up to 1"),
+        ('tool = "a:1"\n warm = -1', "warm is -1, 0 at least"),
+        ('tool = "a:1"\n mots = 3', "unknown key mots, the nearest known is most"),
+        ("most = 3", "tool is missing"),
+    ],
+)
 def test_a_faulty_block_is_named(line, said):
     with pytest.raises(ConfigFault) as found:
-        parse_cluster(f'cluster {{\n controllers = 1\n}}\nkind "std" {{\n cores = 1\n memory = 1\n}}\noffering "w" {{\n expiry = 5\n effect = "redoable"\n}}\ncouncil {{\n id = "x"\n}}\nmember "c1" {{\n address = "a:1"\n}}\ncampaign {{\n {line}\n}}')
+        parse_cluster(
+            f'cluster {{\n controllers = 1\n}}\nkind "std" {{\n cores = 1\n memory = 1\n}}\noffering "w" {{\n expiry = 5\n effect = "redoable"\n}}\ncouncil {{\n id = "x"\n}}\nmember "c1" {{\n address = "a:1"\n}}\ncampaign {{\n {line}\n}}'
+        )
     assert any(said in one for one in found.value.lines), found.value.lines
 
 
 # --- the owner's course
 
+
 def census(token, number, launches=0, refused=0, taken=0, waiting=0) -> Census:
-    return Census(token, number, 3, (), 0, 0.0, {"launches": launches, "launches refused": refused, "taken": taken},
-                  {"waiting": waiting})
+    return Census(
+        token,
+        number,
+        3,
+        (),
+        0,
+        0.0,
+        {"launches": launches, "launches refused": refused, "taken": taken},
+        {"waiting": waiting},
+    )
 
 
 def test_nothing_is_ordered_before_it_stands_in_the_council():
@@ -221,18 +289,25 @@
 
     assert stands(1, 0.0, launches=100, refused=90) == "begins", "one census shows nothing of now"
     assert "31% of launches were turned away" in stands(2, 3.0, launches=200, refused=121)
-    assert "turned away" in stands(3, 6.0, launches=300, refused=146), "25%: it pauses from 30, ends under 22.5"
+    assert "turned away" in stands(3, 6.0, launches=300, refused=146), (
+        "25%: it pauses from 30, ends under 22.5"
+    )
     assert stands(4, 9.0, launches=400, refused=166) == "begins"
-    assert "50% of the jobs to be placed still wait" in stands(5, 12.0, launches=500, refused=166, taken=40, waiting=20)
+    assert "50% of the jobs to be placed still wait" in stands(
+        5, 12.0, launches=500, refused=166, taken=40, waiting=20
+    )
     assert "still wait" in stands(6, 15.0, launches=600, refused=166, taken=60, waiting=10), "10 of 40"
     assert stands(7, 18.0, launches=700, refused=166, taken=90, waiting=8) == "begins", "8 of 40"
-    assert stands(8, 21.0, launches=705, refused=171, taken=91, waiting=9) == "begins", "of so few it tells nothing"
+    assert stands(8, 21.0, launches=705, refused=171, taken=91, waiting=9) == "begins", (
+        "of so few it tells nothing"
+    )
     assert "no census for 16 s" in (course.step(plan(), BOUNDS, seen, 0.0, 37.0) or course.stands).stands
     assert "list of hosts is 16 s old" in course.step(plan(), BOUNDS, seen, 16.0, 38.0).stands
 
 
 # --- many courses in simulated time
 
+
 def test_through_owners_that_die_at_every_step_campaigns_end_within_their_bounds():
     courses = played(range(30))
     assert [course.faults for course in courses] == [[]] * len(courses)
@@ -291,14 +366,24 @@
 def drains_again(turn, bounds, view):
     """A successor that serves, taken for the host that was to drain."""
     seen = view.seen.get(turn.host)
-    if turn.stage is Stage.REPLACES and seen is not None and seen.mode is Mode.SERVES and seen.boot != turn.boot:
+    if (
+        turn.stage is Stage.REPLACES
+        and seen is not None
+        and seen.mode is Mode.SERVES
+        and seen.boot != turn.boot
+    ):
         return Turn(turn.host, Stage.DRAINS, seen.boot)
     return moved(turn, bounds, view)
 
 
 WITHOUT = {
-    "a limit that is not looked at": (campaign, "hinders", lambda plan, bounds, view, out, host:
-                                      hinders(plan, replace(bounds, most=99, cells=99, room=1.0), view, set(), host)),
+    "a limit that is not looked at": (
+        campaign,
+        "hinders",
+        lambda plan, bounds, view, out, host: hinders(
+            plan, replace(bounds, most=99, cells=99, room=1.0), view, set(), host
+        ),
+    ),
     "deaths that do not count": (campaign, "out_of_service", forgets_deaths),
     "progress that is not handed on": (campaign, "read", lambda body, kind: Progress()),
     "irreversible jobs not waited for": (campaign, "moved", moves_irreversible),
@@ -306,16 +391,21 @@
     "a successor taken for its predecessor": (campaign, "moved", drains_again),
 }
 
+
 @pytest.mark.parametrize("where, what, put", WITHOUT.values(), ids=WITHOUT)
 def test_each_guard_taken_out_is_seen(monkeypatch, where, what, put):
     monkeypatch.setattr(where, what, put)
     prompt = Trouble(late=0.5, list_late=1.0, deaths=0.02, down=60.0)
-    assert any(course.faults for trouble in (Trouble(), prompt) for course in played(range(40), 600.0, trouble=trouble))
+    assert any(
+        course.faults
+        for trouble in (Trouble(), prompt)
+        for course in played(range(40), 600.0, trouble=trouble)
+    )
 
 
 # --- the audit of effects
 
-AUDITED = parse_cluster('''
+AUDITED = parse_cluster("""
 cluster {
   controllers = 1
 }
@@ -339,7 +429,7 @@
   expiry = 10
   effect = "irreversible"
 }
-''')
+""")
 
 
 class Record:
@@ -352,7 +442,11 @@
             self.listed(0.0, host, 1, 100.0)
         self.council = self.open("c1/council", pb.CONTROLLER, "c1", 0.0)
         fleet = {"a": ("std", 0), "b": ("std", 1)}
-        self.change(1.0, "campaign/plan", campaign.encoded(drawn("r", {"a", "b"}, fleet, Bounds(most=1, cells=9, room=1))))
+        self.change(
+            1.0,
+            "campaign/plan",
+            campaign.encoded(drawn("r", {"a", "b"}, fleet, Bounds(most=1, cells=9, room=1))),
+        )
 
     def open(self, to, role, name, t):
         link = self.r.opened(t, to)
@@ -360,12 +454,25 @@
         return link
 
     def listed(self, t, host, boot, age, mode=pb.SERVING):
-        self.r.data(t, self.watch, "<", encode(pb.HostList(version=1, hosts=[pb.HostEntry(
-            id=host, kind="std", mode=mode, boot=boot, age=age)])))
+        self.r.data(
+            t,
+            self.watch,
+            "<",
+            encode(
+                pb.HostList(
+                    version=1, hosts=[pb.HostEntry(id=host, kind="std", mode=mode, boot=boot, age=age)]
+                )
+            ),
+        )
 
     def change(self, t, key, body, made=True):
         self.numbers += 1
-        self.r.data(t, self.council, ">", encode(pb.CouncilAsk(number=self.numbers, kind=pb.CHANGE, key=key, body=body)))
+        self.r.data(
+            t,
+            self.council,
+            ">",
+            encode(pb.CouncilAsk(number=self.numbers, kind=pb.CHANGE, key=key, body=body)),
+        )
         if made:
             self.r.data(t, self.council, "<", encode(pb.CouncilTold(number=self.numbers, outcome="DONE")))
 
@@ -373,12 +480,30 @@
         body = campaign.encoded(Progress("r", tuple(out), **rest))
         self.change(t, "duty/campaign", duty.encoded(Duty(f"c{token}/1", token, 6.0, 1, "", body)), made)
 
-    def order(self, t, kind, host, boot=1, token=1, owner="", told=0.0, done=True, draining=False, irreversible=0):
+    def order(
+        self, t, kind, host, boot=1, token=1, owner="", told=0.0, done=True, draining=False, irreversible=0
+    ):
         link = self.open("tool" if kind == pb.HOST_REPLACE else host, pb.OWNER, owner or f"c{token}/1", t)
-        self.r.data(t, link, ">", encode(pb.DutyOrder(number=1, duty="duty/campaign", token=token, campaign="r", kind=kind,
-                                                      host=host, boot=boot)))
-        self.r.data(told or t + 0.01, link, "<", encode(pb.DutyTold(
-            number=1, done=done, boot=boot, token=token, draining=draining, irreversible=irreversible)))
+        self.r.data(
+            t,
+            link,
+            ">",
+            encode(
+                pb.DutyOrder(
+                    number=1, duty="duty/campaign", token=token, campaign="r", kind=kind, host=host, boot=boot
+                )
+            ),
+        )
+        self.r.data(
+            told or t + 0.01,
+            link,
+            "<",
+            encode(
+                pb.DutyTold(
+                    number=1, done=done, boot=boot, token=token, draining=draining, irreversible=irreversible
+                )
+            ),
+        )
 
     def breaches(self):
         return {breach.claim for breach in judge_duties(gather(self.r.entries), AUDITED)}
@@ -445,7 +570,7 @@
     record.order(9.0, pb.HOST_DRAIN, "b")
     if since > 6:
         assert record.breaches() == broken
-    else:       # dead since before its replacement was there; never back
+    else:  # dead since before its replacement was there; never back
         other = Record()
         other.r.mark(since, "kill", "a")
         other.progress(8.8, Turn("b", Stage.DRAINS, 1))
@@ -486,14 +611,18 @@
     assert whole(record).breaches() == {"irreversible"}
 
 
-@pytest.mark.parametrize("gone, word, broken", [
-    (3.2, {}, False),                               # its controller went: over, by the host's word after that
-    (9.0, {}, True),                                # the link stood, and told no end
-    (3.8, {}, True),                                # it went after the host's word
-    (3.2, {"irreversible": 1}, True),
-    (3.2, {"draining": False}, True),               # something new could have come
-    (3.2, {"boot": 2}, True),                       # another life's word
-], ids=str)
+@pytest.mark.parametrize(
+    "gone, word, broken",
+    [
+        (3.2, {}, False),  # its controller went: over, by the host's word after that
+        (9.0, {}, True),  # the link stood, and told no end
+        (3.8, {}, True),  # it went after the host's word
+        (3.2, {"irreversible": 1}, True),
+        (3.2, {"draining": False}, True),  # something new could have come
+        (3.2, {"boot": 2}, True),  # another life's word
+    ],
+    ids=str,
+)
 def test_an_irreversible_job_whose_controller_went_is_over_by_the_hosts_word_alone(gone, word, broken):
     record = Record()
     link = holding(record)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -23,7 +23,9 @@
 from linedeal.settings.keys import hash_of
 from tests.ground import CLUSTER
 
-CLUSTER = CLUSTER.replace("controllers = 2", "controllers = 1").replace("held = 20000", "held = 20000\n  connect = 0.5\n  link_silent = 1.0\n  watch = 0.6\n  hello = 1")
+CLUSTER = CLUSTER.replace("controllers = 2", "controllers = 1").replace(
+    "held = 20000", "held = 20000\n  connect = 0.5\n  link_silent = 1.0\n  watch = 0.6\n  hello = 1"
+)
 WEB, MAIL, FEED = (JobAsk(offering, "", "v", 0.5, 0.5) for offering in ("web", "mail", "feed"))
 
 
@@ -44,7 +46,7 @@
 
     async def send(self, data):
         if self.dead:
-            return                  # half open: it goes nowhere, and nothing says so
+            return  # half open: it goes nowhere, and nothing says so
         if not self.strikes("out", data):
             if self.slow:
                 await self.trickle(data)
@@ -60,7 +62,7 @@
         elif self.net.mode == "half open":
             self.dead = True
         elif self.net.mode == "clog":
-            await anyio.sleep_forever()         # the other side reads no more, and goes on speaking
+            await anyio.sleep_forever()  # the other side reads no more, and goes on speaking
         else:
             self.slow = True
             await self.trickle(data)
@@ -91,7 +93,7 @@
 
     async def trickle(self, data):
         for at in range(len(data)):
-            await self.inner.send(data[at:at + 1])
+            await self.inner.send(data[at : at + 1])
             await anyio.sleep(0.02)
 
     async def end_soon(self):
@@ -125,8 +127,12 @@
 
 def day_of(directory, cluster=CLUSTER, controllers=1, hosts=3):
     (directory / "cluster.hcl").write_text(cluster)
-    return parse_day(f"cluster cluster.hcl\nseed 5\nlength 1\ncontrollers {controllers}\nhabit setup=0.1 life=1\n"
-                     f"hosts {hosts} kind std\nload web 1\n", str(directory / "x.day"), directory)
+    return parse_day(
+        f"cluster cluster.hcl\nseed 5\nlength 1\ncontrollers {controllers}\nhabit setup=0.1 life=1\n"
+        f"hosts {hosts} kind std\nload web 1\n",
+        str(directory / "x.day"),
+        directory,
+    )
 
 
 def judged(ground, day):
@@ -134,11 +140,25 @@
 
 
 # a link at each message: (way as the controller sees it, message, who is at the other end)
-MESSAGES = [("out", "Hello", "host"), ("in", "Welcome", "host"), ("out", "Offer", "host"), ("in", "Accepted", "host"),
-            ("in", "Started", "host"), ("in", "Use", "host"), ("in", "Ended", "host"), ("out", "EndSeen", "host"),
-            ("out", "Probe", "host"), ("in", "Report", "host"), ("out", "Watch", "discovery"),
-            ("in", "HostList", "discovery"), ("in", "Submit", "client"), ("out", "Taken", "client"),
-            ("out", "Answer", "client"), ("out", "Standing", "client"), ("in", "Hello", "client")]
+MESSAGES = [
+    ("out", "Hello", "host"),
+    ("in", "Welcome", "host"),
+    ("out", "Offer", "host"),
+    ("in", "Accepted", "host"),
+    ("in", "Started", "host"),
+    ("in", "Use", "host"),
+    ("in", "Ended", "host"),
+    ("out", "EndSeen", "host"),
+    ("out", "Probe", "host"),
+    ("in", "Report", "host"),
+    ("out", "Watch", "discovery"),
+    ("in", "HostList", "discovery"),
+    ("in", "Submit", "client"),
+    ("out", "Taken", "client"),
+    ("out", "Answer", "client"),
+    ("out", "Standing", "client"),
+    ("in", "Hello", "client"),
+]
 
 
 @pytest.mark.parametrize("mode", ["before", "after", "half open", "trickle"])
@@ -162,6 +182,7 @@
                     key = await owner.submit(asked)
                     standing = await owner.until([key], lambda standing: standing.over, every=True)
                     ends[name, number] = standing
+
         async with anyio.create_task_group() as tasks:
             for number in range(3):
                 for name, asked in (("web", WEB), ("mail", MAIL), ("feed", FEED)):
@@ -169,8 +190,11 @@
         await anyio.sleep(2.0)
         engine = ground.servers["c1"].engine
         front = ground.servers["c1"].front
-        left = (dict(engine.taken), [link for link in ground.servers["c1"].links.values() if link.outbox],
-                list(front.clients.values()))
+        left = (
+            dict(engine.taken),
+            [link for link in ground.servers["c1"].links.values() if link.outbox],
+            list(front.clients.values()),
+        )
         # whoever was not told on the link that hung finds its answer on the next
         for name, number in [(name, number) for name in ("web", "mail", "feed") for number in range(3)]:
             if (name, number) not in ends:
@@ -183,7 +207,9 @@
     assert nets[0].struck, "the fault was never met"
     assert not taken and not outboxes
     assert len(clients) <= 1, "links of clients that went are kept"
-    silent = who == "client" and mode == "half open"    # its own record tells of a link that stands: nothing gets there
+    silent = (
+        who == "client" and mode == "half open"
+    )  # its own record tells of a link that stands: nothing gets there
     assert not breaches or silent, breaches
     if not silent:
         assert len(ends) == 9
@@ -191,11 +217,12 @@
 
 # clients that misbehave, one at a time, beside others that do not
 
+
 async def flood(link, messages):
     """All at once, read by nobody."""
     data = b"".join(map(encode, messages))
     for at in range(0, len(data), 65536):
-        await link.send(data[at:at + 65536])
+        await link.send(data[at : at + 65536])
 
 
 def spec(offering="web", service="rogue", cores=0.1, memory=0.1, customer="rogue"):
@@ -206,27 +233,45 @@
 ROGUES = {
     "submits": lambda: [pb.Submit(key=f"k{i}", job=spec()) for i in range(3000)],
     "submits of one key": lambda: [pb.Submit(key="k", job=spec()) for i in range(3000)],
-    "odd sizes": lambda: [pb.Submit(key=f"k{i}", job=spec(cores=1 + i / 1000, memory=3 - i / 1000), wait=0.5 + i / 1000)
-                          for i in range(1500)],
-    "sizes that are none": lambda: [pb.Submit(key=f"k{i}", job=spec(cores=size, memory=size)) for i, size in
-                                    enumerate([0.0, -1.0, float("nan"), float("inf"), 1e300, 1e-300, 5e-324])],
-    "a new service each time": lambda: [pb.Submit(key=f"k{i}", job=spec(service=f"s{i}")) for i in range(2000)],
-    "another's service": lambda: [pb.Submit(key=f"k{i}", job=spec(service="good", cores=1e-9)) for i in range(500)],
-    "names without end": lambda: [pb.Submit(key="k", job=spec(service=LONG)), pb.Submit(key="l", job=spec(LONG))],
+    "odd sizes": lambda: [
+        pb.Submit(key=f"k{i}", job=spec(cores=1 + i / 1000, memory=3 - i / 1000), wait=0.5 + i / 1000)
+        for i in range(1500)
+    ],
+    "sizes that are none": lambda: [
+        pb.Submit(key=f"k{i}", job=spec(cores=size, memory=size))
+        for i, size in enumerate([0.0, -1.0, float("nan"), float("inf"), 1e300, 1e-300, 5e-324])
+    ],
+    "a new service each time": lambda: [
+        pb.Submit(key=f"k{i}", job=spec(service=f"s{i}")) for i in range(2000)
+    ],
+    "another's service": lambda: [
+        pb.Submit(key=f"k{i}", job=spec(service="good", cores=1e-9)) for i in range(500)
+    ],
+    "names without end": lambda: [
+        pb.Submit(key="k", job=spec(service=LONG)),
+        pb.Submit(key="l", job=spec(LONG)),
+    ],
     "take-backs of nothing": lambda: [pb.TakeBack(key=f"k{i}") for i in range(5000)],
-    "submits taken back": lambda: [m for i in range(1500) for m in (pb.Submit(key=f"k{i}", job=spec()),
-                                                                    pb.TakeBack(key=f"k{i}"))],
+    "submits taken back": lambda: [
+        m for i in range(1500) for m in (pb.Submit(key=f"k{i}", job=spec()), pb.TakeBack(key=f"k{i}"))
+    ],
     "orders": lambda: [pb.Order(key=f"k{i % 7}", kind=1 + i % 3) for i in range(5000)],
     "held in mass": lambda: [pb.Submit(key=f"k{i}", job=spec(), hold=True, follow=True) for i in range(1500)],
-    "hold and release": lambda: [pb.Submit(key="k", job=spec(), hold=True, follow=True)] + [
-        pb.Order(key="k", kind=pb.RELEASE if i % 2 == 0 else pb.HOLD) for i in range(2000)],
-    "questions": lambda: [pb.Submit(key=f"k{i}", job=spec(), hold=True, follow=True) for i in range(200)] + [
-        pb.AskStanding() for i in range(2000)],
+    "hold and release": lambda: (
+        [pb.Submit(key="k", job=spec(), hold=True, follow=True)]
+        + [pb.Order(key="k", kind=pb.RELEASE if i % 2 == 0 else pb.HOLD) for i in range(2000)]
+    ),
+    "questions": lambda: (
+        [pb.Submit(key=f"k{i}", job=spec(), hold=True, follow=True) for i in range(200)]
+        + [pb.AskStanding() for i in range(2000)]
+    ),
     "a long key in an order": lambda: [pb.Order(key="k" * 1_048_560, kind=pb.HOLD)],
     "a long key in a question": lambda: [pb.AskStanding(key="k" * 1_048_560)],
     "a long key in what it takes back": lambda: [pb.TakeBack(key="k" * 1_048_560)],
-    "work that is too much": lambda: [pb.Submit(key=f"k{i}", job=pb.JobSpec(offering="web", cores=1, memory=1,
-                                                                           work=b"x" * 70_000)) for i in range(50)],
+    "work that is too much": lambda: [
+        pb.Submit(key=f"k{i}", job=pb.JobSpec(offering="web", cores=1, memory=1, work=b"x" * 70_000))
+        for i in range(50)
+    ],
 }
 
 
@@ -250,12 +295,18 @@
             effects = turn(now)
             most[1] = max(most[1], len(effects))
             return effects
+
         engine.turn = counted
         good, verdicts = Client.connect(ground.net, ("c1", 1), "good"), []
 
         async def misbehave():
-            link, _ = await open_link(ground.net, ("c1", 1), FrameReader(), encode(pb.Hello(
-                version=VERSION, role=pb.CLIENT, name="rogue", session="rogue")), 1.0)
+            link, _ = await open_link(
+                ground.net,
+                ("c1", 1),
+                FrameReader(),
+                encode(pb.Hello(version=VERSION, role=pb.CLIENT, name="rogue", session="rogue")),
+                1.0,
+            )
             try:
                 await flood(link, ROGUES[rogue]())
                 await anyio.sleep(3.0)
@@ -291,8 +342,10 @@
 
     async def work(ground):
         await anyio.sleep(3.0)
-        async with Owner.open(ground.net, Contact((("c1", 1),), "s")) as owner, \
-                Client.connect(ground.net, ("c1", 1), "plain") as client:
+        async with (
+            Owner.open(ground.net, Contact((("c1", 1),), "s")) as owner,
+            Client.connect(ground.net, ("c1", 1), "plain") as client,
+        ):
             await anyio.sleep(0.5)
             waits = []
             for _ in range(5):
@@ -311,17 +364,31 @@
 
 
 async def hello_of(ground, **rest):
-    return await open_link(ground.net, ("c1", 1), FrameReader(), encode(pb.Hello(version=VERSION, role=pb.CLIENT, name="x", **rest)), 1.0)
-
-
-@pytest.mark.parametrize("sent, goes", [
-    ([], True),
-    ([pb.TakeBack(key="none")], True),                                      # counted no job off
-    ([pb.Submit(key="a", job=spec()), pb.TakeBack(key="a")], True),
-    ([pb.Submit(key="a", job=spec("feed", cores=9e9)), pb.TakeBack(key="none")], False),    # one waits: it stays
-])
+    return await open_link(
+        ground.net,
+        ("c1", 1),
+        FrameReader(),
+        encode(pb.Hello(version=VERSION, role=pb.CLIENT, name="x", **rest)),
+        1.0,
+    )
+
+
+@pytest.mark.parametrize(
+    "sent, goes",
+    [
+        ([], True),
+        ([pb.TakeBack(key="none")], True),  # counted no job off
+        ([pb.Submit(key="a", job=spec()), pb.TakeBack(key="a")], True),
+        (
+            [pb.Submit(key="a", job=spec("feed", cores=9e9)), pb.TakeBack(key="none")],
+            False,
+        ),  # one waits: it stays
+    ],
+)
 def test_a_link_that_waits_for_nothing_is_ended_whatever_it_took_back(tmp_path, sent, goes):
-    cluster = CLUSTER.replace("hello = 1", "hello = 1\n  client_idle = 2").replace("expiry = 6", "expiry = 30")
+    cluster = CLUSTER.replace("hello = 1", "hello = 1\n  client_idle = 2").replace(
+        "expiry = 6", "expiry = 30"
+    )
     day = day_of(tmp_path, cluster)
 
     async def work(ground):
@@ -329,7 +396,11 @@
         link, _ = await hello_of(ground)
         await flood(link, sent)
         await anyio.sleep(7.0)
-        return len(ground.servers["c1"].front.clients), len(ground.servers["c1"].engine.taken), judged(ground, day)
+        return (
+            len(ground.servers["c1"].front.clients),
+            len(ground.servers["c1"].engine.taken),
+            judged(ground, day),
+        )
 
     clients, taken, breaches = play.in_memory(day, work)
     assert (clients, taken) == ((0, 0) if goes else (1, 1)) and not breaches
@@ -393,15 +464,22 @@
     async def work(ground):
         await anyio.sleep(1.0)
 
-        async def talk():       # the host goes on talking of launches that are unknown
+        async def talk():  # the host goes on talking of launches that are unknown
             while True:
                 for host in ("h01", "h02", "h03"):
                     peer = ground.servers[host].peers.get("c1")
                     if peer is not None:
                         for number in range(20):
-                            await peer.link.send(encode(pb.Ended(launch=pb.LaunchId(controller="c1", life=1,
-                                                                                    number=10 ** 6 + number))))
-                held.append(max((len(link.outbox) for link in ground.servers["c1"].links.values()), default=0))
+                            await peer.link.send(
+                                encode(
+                                    pb.Ended(
+                                        launch=pb.LaunchId(controller="c1", life=1, number=10**6 + number)
+                                    )
+                                )
+                            )
+                held.append(
+                    max((len(link.outbox) for link in ground.servers["c1"].links.values()), default=0)
+                )
                 await anyio.sleep(0.01)
 
         async with anyio.create_task_group() as tasks:
@@ -467,7 +545,12 @@
         await anyio.sleep(1.0)
         async with Owner.open(ground.net, Contact((("c1", 1),), "s")) as owner:
             asks = [JobAsk("feed", "", "v", 0.01, 0.01) for _ in range(24)]
-            keys = [await owner.submit(ask, work=pb.Work(command="x", input=random.Random(i).randbytes(30_000).hex())) for i, ask in enumerate(asks)]
+            keys = [
+                await owner.submit(
+                    ask, work=pb.Work(command="x", input=random.Random(i).randbytes(30_000).hex())
+                )
+                for i, ask in enumerate(asks)
+            ]
             await anyio.sleep(0.3)
             await ground.kill("c1")
             await ground.start("c1")
@@ -481,26 +564,34 @@
 
 # a configuration that is another in the next life, with jobs at every stage
 
+
 def without(text, block):
     start = text.index(block)
-    return text[:start] + text[text.index("}\n", start) + 2:]
+    return text[:start] + text[text.index("}\n", start) + 2 :]
 
 
 CHANGES = {
     "nothing": lambda text: text,
     "an offering is gone": lambda text: without(text, 'offering "feed"'),
     "two offerings are gone": lambda text: without(without(text, 'offering "feed"'), 'offering "mail"'),
-    "irreversible becomes redoable": lambda text: text.replace('effect = "irreversible"', 'effect = "redoable"'),
-    "redoable becomes irreversible": lambda text: text.replace('effect = "redoable"', 'effect = "irreversible"', 1),
-    "a wider group and window": lambda text: text.replace('group = "zone"', 'group = "all"').replace("window = 4",
-                                                                                                     "window = 60"),
+    "irreversible becomes redoable": lambda text: text.replace(
+        'effect = "irreversible"', 'effect = "redoable"'
+    ),
+    "redoable becomes irreversible": lambda text: text.replace(
+        'effect = "redoable"', 'effect = "irreversible"', 1
+    ),
+    "a wider group and window": lambda text: text.replace('group = "zone"', 'group = "all"').replace(
+        "window = 4", "window = 60"
+    ),
     "shorter expiries": lambda text: text.replace("expiry = 6", "expiry = 2"),
     "longer expiries": lambda text: text.replace("expiry = 6", "expiry = 60"),
     "more controllers": lambda text: text.replace("controllers = 1", "controllers = 8"),
     "another confirmation": lambda text: text.replace('confirms = "accepted"', 'confirms = "running"'),
     "the kind is gone": lambda text: text.replace('kind "std"', 'kind "other"'),
     "the kind is smaller": lambda text: text.replace("cores = 10", "cores = 1"),
-    "customers with quotas and keys": lambda text: text + f'customer "x" {{\n  cores = 1\n  key = "{hash_of("x")}"\n}}\n',
+    "customers with quotas and keys": lambda text: (
+        text + f'customer "x" {{\n  cores = 1\n  key = "{hash_of("x")}"\n}}\n'
+    ),
     "far less may be held": lambda text: text.replace("held = 20000", "held = 1"),
     "a journal with hardly any room": lambda text: text + "journal {\n  most = 1048577\n}\n",
     "each commit is flushed": lambda text: text + "journal {\n  power = true\n}\n",
@@ -532,7 +623,7 @@
             await anyio.sleep(0.1)
             await ground.kill("c1")
             for host in ("h01", "h02", "h03"):
-                if reborn:      # whatever was launched there may have run
+                if reborn:  # whatever was launched there may have run
                     await ground.kill(host)
                     await ground.start(host)
                 await ground.order(host, {"mute": False})
@@ -543,7 +634,7 @@
                 try:
                     await owner.order(keys[name, "held"], RELEASE)
                 except OrderRefused:
-                    pass        # its hold has ended
+                    pass  # its hold has ended
             with anyio.move_on_after(30.0):
                 await owner.until(keys.values(), lambda standing: standing.over, every=True)
             told = {stage: owner.standing(key).stage for stage, key in keys.items()}
@@ -552,7 +643,11 @@
 
     told, taken, breaches = play.in_memory(day, work)
     assert not taken and not breaches, breaches
-    open_ = {stage: state for stage, state in told.items() if state in ("held", "later", "waiting", "placed", "running")}
+    open_ = {
+        stage: state
+        for stage, state in told.items()
+        if state in ("held", "later", "waiting", "placed", "running")
+    }
     assert not open_, open_
 
 
@@ -568,7 +663,7 @@
 
     async def work(ground):
         await anyio.sleep(2.0)
-        ground.servers["c1"].breaker.struck = False       # the next news is lost, and all after it on that link
+        ground.servers["c1"].breaker.struck = False  # the next news is lost, and all after it on that link
         await ground.order("h01", {"drain": True})
         await anyio.sleep(2.0)
         known = ground.servers["c1"].engine.fleet.hosts
@@ -587,7 +682,7 @@
         await anyio.sleep(1.0)
         known = [await hello_of(ground) for _ in range(8)]
         streams = [await ground.net.connect(("c1", 1)) for _ in range(10)]
-        await anyio.sleep(0.2)      # there was room for each, and none has said who it is
+        await anyio.sleep(0.2)  # there was room for each, and none has said who it is
         for stream in streams:
             try:
                 await stream.send(encode(pb.Hello(version=VERSION, role=pb.CLIENT, name="x")))
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -4,8 +4,22 @@
 
 from linedeal.council import moves, witness
 from linedeal.council.member import Member
-from linedeal.council.records import (MOST_BODY, ROSTER, Answer, Ask, Change, Fault, Identity, Keep, Mark,
-                                      Outcome, Roster, Send, Timing, Value)
+from linedeal.council.records import (
+    MOST_BODY,
+    ROSTER,
+    Answer,
+    Ask,
+    Change,
+    Fault,
+    Identity,
+    Keep,
+    Mark,
+    Outcome,
+    Roster,
+    Send,
+    Timing,
+    Value,
+)
 from linedeal.council.slots import changed
 from linedeal.lab import faulty
 from linedeal.lab.explore import Budget, Case, exhaust, half, reader, replacing, wander, writer
@@ -31,8 +45,9 @@
         self.starts += 1
         if lost or name not in self.disks:
             self.disks[name], self.incarnations[name] = {}, self.starts
-        self.members[name] = Member(Identity(name, self.incarnations[name]), "lapa", self.named, self.disks[name],
-                                    self.starts, half)
+        self.members[name] = Member(
+            Identity(name, self.incarnations[name]), "lapa", self.named, self.disks[name], self.starts, half
+        )
         self.carry(name, self.members[name].begin(self.now))
 
     def carry(self, name: str, effects: list) -> None:
@@ -53,7 +68,9 @@
                     self.carry(name, member.tick(self.now))
 
     def ask(self, at: str, change: Change | None, key: str = "k", wait: float = 0.5) -> Answer:
-        self.carry(at, self.members[at].ask(Ask(len(self.answers), "c", key, change, self.now + wait), self.now))
+        self.carry(
+            at, self.members[at].ask(Ask(len(self.answers), "c", key, change, self.now + wait), self.now)
+        )
         self.wait(wait + 0.2)
         return self.answers[-1]
 
@@ -70,7 +87,8 @@
     town.start("c")
     town.wait(3)
     assert {member.roster for member in town.members.values()} == {
-        Roster(1, tuple(Identity(name, town.incarnations[name]) for name in "abc"))}
+        Roster(1, tuple(Identity(name, town.incarnations[name]) for name in "abc"))
+    }
     assert town.ask("c", Change("w", 0, b"1")).outcome is Outcome.DONE
     assert town.ask("a", None).value == Value(1, b"1", ("w",))
 
@@ -194,8 +212,11 @@
     member = town.members["a"]
     answers = []
     for client, number in [("one", n) for n in range(40)] + [("two", n) for n in range(3)]:
-        answers += [one for one in member.ask(Ask(number, client, "k", None, town.now + 1), town.now)
-                    if type(one) is Answer]
+        answers += [
+            one
+            for one in member.ask(Ask(number, client, "k", None, town.now + 1), town.now)
+            if type(one) is Answer
+        ]
     assert [(one.ask.client, one.outcome) for one in answers] == [("one", Outcome.BUSY)] * 8
     late = [one for one in member.tick(town.now + 2) if type(one) is Answer]
     assert len(late) == 35 and {one.outcome for one in late} == {Outcome.UNKNOWN}
@@ -220,14 +241,17 @@
     assert packets and [town.members["a"].hear(packet, town.now) for packet in packets] == [[]] * len(packets)
 
 
-@pytest.mark.parametrize("said, expected", [
-    (Mark("c", 1, 2, 20, 5, 7), (witness.Sight.KNOWN, 7)),
-    (Mark("c", 1, 2, 20, 5, 9), (witness.Sight.NEWER, 9)),
-    (Mark("c", 1, 3, 30, 8, 9), (witness.Sight.NEWER, 9)),
-    (Mark("c", 1, 3, 30, 6, 9), (witness.Sight.LATE, 7)),      # born before writes that were seen
-    (Mark("c", 1, 2, 30, 8, 9), (witness.Sight.LATE, 7)),      # a second process in the same life
-    (Mark("c", 1, 1, 10, 0, 5), (witness.Sight.LATE, 7)),
-])
+@pytest.mark.parametrize(
+    "said, expected",
+    [
+        (Mark("c", 1, 2, 20, 5, 7), (witness.Sight.KNOWN, 7)),
+        (Mark("c", 1, 2, 20, 5, 9), (witness.Sight.NEWER, 9)),
+        (Mark("c", 1, 3, 30, 8, 9), (witness.Sight.NEWER, 9)),
+        (Mark("c", 1, 3, 30, 6, 9), (witness.Sight.LATE, 7)),  # born before writes that were seen
+        (Mark("c", 1, 2, 30, 8, 9), (witness.Sight.LATE, 7)),  # a second process in the same life
+        (Mark("c", 1, 1, 10, 0, 5), (witness.Sight.LATE, 7)),
+    ],
+)
 def test_what_a_mark_shows(said, expected):
     shown, newest = witness.sight(Mark("c", 1, 2, 20, 5, 7), said)
     assert (shown, newest.writes) == expected
@@ -236,7 +260,9 @@
 def test_word_of_an_earlier_life_proves_nothing_against_this_one():
     mine = Mark("c", 1, 3, 30, 8, 9)
     assert not witness.outdated(mine, Mark("c", 1, 2, 20, 5, 8))
-    assert witness.outdated(mine, Mark("c", 1, 2, 20, 5, 9)) and witness.outdated(mine, Mark("c", 1, 3, 31, 8, 8))
+    assert witness.outdated(mine, Mark("c", 1, 2, 20, 5, 9)) and witness.outdated(
+        mine, Mark("c", 1, 3, 31, 8, 8)
+    )
 
 
 def test_a_change_is_known_by_its_id_while_remembered():
@@ -249,11 +275,14 @@
     assert changed(value, Change("x", 41, b""))[0] is Outcome.CONFLICT
 
 
-@pytest.mark.parametrize("old, new, says", [
-    ("x", Identity("d", 1), "x is not a member of the council: a, b"),
-    ("a", Identity("b", 9), "b is a member of the council already"),
-    ("a", Identity("a", 1), "a is the same member: nothing to replace"),
-])
+@pytest.mark.parametrize(
+    "old, new, says",
+    [
+        ("x", Identity("d", 1), "x is not a member of the council: a, b"),
+        ("a", Identity("b", 9), "b is a member of the council already"),
+        ("a", Identity("a", 1), "a is the same member: nothing to replace"),
+    ],
+)
 def test_a_replacement_that_cannot_be_is_refused(old, new, says):
     with pytest.raises(Fault, match=says):
         moves.replaced(Roster(1, (Identity("a", 1), Identity("b", 2))), old, new)
@@ -262,9 +291,13 @@
 def test_histories_that_no_one_register_gives_are_found():
     one, two = Change("a", 0, b"1"), Change("b", 0, b"2")
     made = Value(1, b"1", ("a",))
-    assert not linearizable((Op(one, 0, 2, Outcome.DONE, made), Op(two, 1, 3, Outcome.DONE, Value(1, b"2", ("b",)))))
+    assert not linearizable(
+        (Op(one, 0, 2, Outcome.DONE, made), Op(two, 1, 3, Outcome.DONE, Value(1, b"2", ("b",))))
+    )
     assert linearizable((Op(one, 0), Op(None, 1, 2, Outcome.READ, made)))
-    assert not linearizable((Op(one, 0), Op(None, 1, 2, Outcome.READ, made), Op(None, 3, 4, Outcome.READ, Value())))
+    assert not linearizable(
+        (Op(one, 0), Op(None, 1, 2, Outcome.READ, made), Op(None, 3, 4, Outcome.READ, Value()))
+    )
     assert not linearizable((Op(one, 0, 1, Outcome.CONFLICT, made),))
 
 
@@ -286,8 +319,12 @@
     "older copies": faulty.COPIED,
     "a move": faulty.MOVING,
     "five members": Case(5, (*faulty.TWO_WRITE, writer(6, "e", 1)), Budget(4, 2, 2, 10)),
-    "two moves of one epoch": Case(3, (replacing(1, "a", 3, "c", "d"), replacing(2, "b", 3, "a", "e"), writer(3, "b"),
-                                       reader(4, "a")), Budget(3, 1, 1, 30), ("d", "e")),
+    "two moves of one epoch": Case(
+        3,
+        (replacing(1, "a", 3, "c", "d"), replacing(2, "b", 3, "a", "e"), writer(3, "b"), reader(4, "a")),
+        Budget(3, 1, 1, 30),
+        ("d", "e"),
+    ),
 }
 
 
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -81,42 +81,63 @@
 CASES = {
     "a host accepts and dies before its yes arrives": (
         ["at 2 slow h01,h02,h03 0.3 for 4", "at 3 kill h01,h02,h03 for 1"],
-        lambda t: any(l.link_end < l.t + 0.35 and l.accepted > 1e9 for l in t.launches.values())),
+        lambda t: any(l.link_end < l.t + 0.35 and l.accepted > 1e9 for l in t.launches.values()),
+    ),
     "the yes arrives after the time-out": (
         ["at 2 slow hosts 1.6 for 5"],
-        lambda t: any(l.accepted > l.t + l.wait and l.accepted < 1e9 for l in t.launches.values())),
+        lambda t: any(l.accepted > l.t + l.wait and l.accepted < 1e9 for l in t.launches.values()),
+    ),
     "the same host is back within the time-out": (
         ["at 2 kill h01,h02,h03 for 0.2", "at 4 kill h04,h05,h06 for 0.2"],
-        lambda t: len([b for h, b in t.booted if h == "h01"]) == 2),
+        lambda t: len([b for h, b in t.booted if h == "h01"]) == 2,
+    ),
     "links break under launches": (
-        ["at 2 cut hosts from controllers for 1", "at 4 cut controllers from hosts one-way for 1",
-         "at 6 cut hosts from controllers one-way for 1"],
-        lambda t: any(l.held_back for l in t.launches.values())),
+        [
+            "at 2 cut hosts from controllers for 1",
+            "at 4 cut controllers from hosts one-way for 1",
+            "at 6 cut hosts from controllers one-way for 1",
+        ],
+        lambda t: any(l.held_back for l in t.launches.values()),
+    ),
     "a controller stands still and goes on": (
         ["at 2 stop c1 for 5"],
-        lambda t: any(w == "continue" for _, w, _ in t.marks)),
+        lambda t: any(w == "continue" for _, w, _ in t.marks),
+    ),
     "silent for jobs while probes are answered": (
         ["at 2 mute h01,h02 for 6"],
-        lambda t: any(a[1] == pb.WRITTEN_OFF for j in t.jobs.values() for a in j.answers)),
+        lambda t: any(a[1] == pb.WRITTEN_OFF for j in t.jobs.values() for a in j.answers),
+    ),
     "controllers restart amid a mass restart": (
         ["at 2 kill h01,h02,h03 for 1", "at 2.5 kill c1,c2 for 1"],
-        lambda t: {l.life for l in t.launches.values()} == {1, 2} and t.found),
+        lambda t: {l.life for l in t.launches.values()} == {1, 2} and t.found,
+    ),
     "discovery is down while hosts drain": (
         ["at 1 discovery down for 4", "at 2 drain h01,h02 for 5"],
-        lambda t: True),
+        lambda t: True,
+    ),
     "hosts drain and send their jobs away": (
         ["habit drain=paced", "at 2 drain h01,h02 for 4", "at 4 deploy h04,h05 50"],
-        lambda t: True),
+        lambda t: True,
+    ),
     "young hosts after growth and a burst": (
         ["at 1 burst 3 for 4", "at 2 grow 2 std a", "at 3 kill h02 for 1"],
-        lambda t: True),
+        lambda t: True,
+    ),
     "errors, refusals, lost programs, a surge and heavy jobs": (
-        ["at 1 errors h01 web for 3", "at 1 refuse h02 x for 3", "at 2 flush hosts", "at 3 surge web-1 2 for 3",
-         "at 4 heavy mail 4 for 2", "at 5 pace h03 0.2 for 3"],
-        lambda t: any(l.outcome == pb.ERROR for l in t.launches.values())),
+        [
+            "at 1 errors h01 web for 3",
+            "at 1 refuse h02 x for 3",
+            "at 2 flush hosts",
+            "at 3 surge web-1 2 for 3",
+            "at 4 heavy mail 4 for 2",
+            "at 5 pace h03 0.2 for 3",
+        ],
+        lambda t: any(l.outcome == pb.ERROR for l in t.launches.values()),
+    ),
     "the watch is lost and the list is late": (
         ["at 2 discovery lose", "at 3 discovery late 1 for 3", "at 4 drain h01"],
-        lambda t: True),
+        lambda t: True,
+    ),
 }
 
 
@@ -151,6 +172,7 @@
 
 # mutants: a controller without one of its guards has to be caught
 
+
 class Ungated(Controller):
     def wanted(self, track):
         return not track.ended and track.host is None
@@ -164,6 +186,7 @@
 
     def list_one(self, entry):
         from dataclasses import replace
+
         super().list_one(replace(entry, mode=Mode.SERVING))
 
 
@@ -171,10 +194,15 @@
     return {breach.rule for breach in breaches}
 
 
-@pytest.mark.parametrize("rule, orders, mutant", [
-    (2, ["at 2 mute h01,h02,h03,h04 for 5"], Ungated), (3, ["at 2 drain h01,h02,h03,h04"], Forgetful),
-    (4, ["at 2 kill h01,h02,h03,h04,h05 for 0.5", "at 2 burst 6 for 6"], Ungated),
-    (5, ["at 2 drain h01,h02,h03,h04"], Ungated)])
+@pytest.mark.parametrize(
+    "rule, orders, mutant",
+    [
+        (2, ["at 2 mute h01,h02,h03,h04 for 5"], Ungated),
+        (3, ["at 2 drain h01,h02,h03,h04"], Forgetful),
+        (4, ["at 2 kill h01,h02,h03,h04,h05 for 0.5", "at 2 burst 6 for 6"], Ungated),
+        (5, ["at 2 drain h01,h02,h03,h04"], Ungated),
+    ],
+)
 def test_a_controller_without_its_gate_is_caught(tmp_path, rule, orders, mutant):
     day = day_of(tmp_path, *orders)
     assert rule in broken_rules(played(day, policy=mutant)[1])
@@ -187,7 +215,7 @@
     monkeypatch.setattr(Store, "next_life", lambda self: 1)
     try:
         caught = bool(played(day)[1])
-    except* BrokenPromise:      # it meets jobs of its own number on the hosts, and ends rather than go on
+    except* BrokenPromise:  # it meets jobs of its own number on the hosts, and ends rather than go on
         caught = True
     assert caught
 
@@ -209,8 +237,10 @@
             super().answer(job_id, verdict, host)
 
 
-@pytest.mark.parametrize("mutant, rule, orders", [
-    (Credulous, 1, ["at 2 slow hosts 1.2 for 6"]), (Forgiving, 1, ["at 2 mute h01,h02 for 6"])])
+@pytest.mark.parametrize(
+    "mutant, rule, orders",
+    [(Credulous, 1, ["at 2 slow hosts 1.2 for 6"]), (Forgiving, 1, ["at 2 mute h01,h02 for 6"])],
+)
 def test_an_engine_without_its_guard_is_caught(tmp_path, monkeypatch, mutant, rule, orders):
     day = day_of(tmp_path, *orders)
     assert not played(day)[1]
@@ -221,7 +251,9 @@
 def test_an_engine_that_takes_a_broken_link_for_proof_is_caught(tmp_path, monkeypatch):
     day = day_of(tmp_path, "at 1 slow hosts 1.4 for 8", "at 3 kill h01,h02 for 1", "at 4 kill h03,h04 for 1")
     assert not played(day)[1]
-    monkeypatch.setattr(launches, "cut", lambda launch: Result.UNREACHABLE if launch.state is State.OUT else None)
+    monkeypatch.setattr(
+        launches, "cut", lambda launch: Result.UNREACHABLE if launch.state is State.OUT else None
+    )
     assert 2 in broken_rules(played(day)[1])
 
 
@@ -230,7 +262,12 @@
 
 
 SESSIONS = SET.replace("services=6", "services=6 sessions").replace("services=3", "services=3 sessions")
-KILLS = ["at 2 mute h01,h02 for 3", "at 3 kill controllers for 1", "at 6 kill c1 for 1", "at 6.4 kill h03 for 1"]
+KILLS = [
+    "at 2 mute h01,h02 for 3",
+    "at 3 kill controllers for 1",
+    "at 6 kill c1 for 1",
+    "at 6.4 kill h03 for 1",
+]
 
 
 def session_day(tmp_path, *orders):
@@ -241,7 +278,10 @@
 def test_sessions_jobs_are_answered_over_kills(tmp_path):
     traffic, breaches, tally = played(session_day(tmp_path, *KILLS))
     assert not breaches
-    assert all(job.session and (job.answers or job.told) for job in traffic.jobs.values()) and len(traffic.jobs) > 50
+    assert (
+        all(job.session and (job.answers or job.told) for job in traffic.jobs.values())
+        and len(traffic.jobs) > 50
+    )
     assert not any(end in ("no answer", "unknown") for ends in tally.ends.values() for end in ends)
 
 
@@ -263,8 +303,13 @@
 
 def test_a_recovery_that_takes_silence_for_proof_is_caught(tmp_path, monkeypatch):
     # guards against a second effect: a launch of an earlier life is out until its host has spoken
-    day = session_day(tmp_path, "at 1 slow hosts 1.5 for 8", "at 3 kill controllers for 0.2", "at 3 kill hosts for 4",
-                      "at 5 kill controllers for 0.2")
+    day = session_day(
+        tmp_path,
+        "at 1 slow hosts 1.5 for 8",
+        "at 3 kill controllers for 0.2",
+        "at 3 kill hosts for 4",
+        "at 5 kill controllers for 0.2",
+    )
     assert not played(day)[1]
     monkeypatch.setattr(recovery, "ran", lambda launch, accounts: False)
     assert 2 in broken_rules(played(day)[1])
--- a/tests/test_drmaa.py
+++ b/tests/test_drmaa.py
@@ -17,8 +17,20 @@
 from linedeal.client.client import JobAsk
 from linedeal.client.contact import parse_contact
 from linedeal.client.owner import END, Owner
-from linedeal.drmaa import (InvalidArgument, InvalidSession, InvalidState, JobState, JobTemplate, SessionManager, Timeout,
-                            TryLater, UnsupportedAttribute, UnsupportedOperation, DeniedByDrms, DrmCommunication)
+from linedeal.drmaa import (
+    InvalidArgument,
+    InvalidSession,
+    InvalidState,
+    JobState,
+    JobTemplate,
+    SessionManager,
+    Timeout,
+    TryLater,
+    UnsupportedAttribute,
+    UnsupportedOperation,
+    DeniedByDrms,
+    DrmCommunication,
+)
 from linedeal.drmaa import agent, build, translate, v1
 from linedeal.drmaa.errors import V1
 from linedeal.net import TcpNet
@@ -45,30 +57,42 @@
 
 
 def template(**rest):
-    return JobTemplate(**{"remote_command": "/bin/print", "job_category": "course-reader",
-                          "native": "cores=1 memory=1"} | rest)
+    return JobTemplate(
+        **{"remote_command": "/bin/print", "job_category": "course-reader", "native": "cores=1 memory=1"}
+        | rest
+    )
 
 
 def env(contact="", **more):
-    return {**os.environ, "PATH": f"{Path(sys.executable).parent}:{os.environ['PATH']}", "LINEDEAL_CONTACT": contact, **more}
+    return {
+        **os.environ,
+        "PATH": f"{Path(sys.executable).parent}:{os.environ['PATH']}",
+        "LINEDEAL_CONTACT": contact,
+        **more,
+    }
 
 
 # templates
 
-@pytest.mark.parametrize("change, fault, v1_number", [
-    ({"queue_name": "q"}, UnsupportedAttribute, V1.INVALID_ARGUMENT),
-    ({"rerunnable": True}, UnsupportedAttribute, V1.INVALID_ARGUMENT),
-    ({"min_slots": 1, "max_slots": 3}, UnsupportedAttribute, V1.INVALID_ARGUMENT),
-    ({"remote_command": ""}, InvalidArgument, V1.INVALID_ATTRIBUTE_VALUE),
-    ({"job_category": ""}, InvalidArgument, V1.INVALID_ATTRIBUTE_VALUE),
-    ({"native": "cores"}, InvalidArgument, V1.INVALID_ATTRIBUTE_FORMAT),
-    ({"native": "'"}, InvalidArgument, V1.INVALID_ATTRIBUTE_FORMAT),
-    ({"native": "cores=0"}, InvalidArgument, V1.INVALID_ATTRIBUTE_VALUE),
-    ({"native": "memory=inf"}, InvalidArgument, V1.INVALID_ATTRIBUTE_VALUE),
-    ({"native": "cores=2", "min_slots": 2}, InvalidArgument, V1.CONFLICTING_ATTRIBUTE_VALUES),
-    ({"native": "customer=a", "accounting_id": "b"}, InvalidArgument, V1.CONFLICTING_ATTRIBUTE_VALUES),
-    ({"deadline_time": 99.0}, InvalidArgument, V1.INVALID_ATTRIBUTE_VALUE),
-    ({"deadline_time": 200.0, "start_time": 300.0}, InvalidArgument, V1.INVALID_ATTRIBUTE_VALUE)])
+
+@pytest.mark.parametrize(
+    "change, fault, v1_number",
+    [
+        ({"queue_name": "q"}, UnsupportedAttribute, V1.INVALID_ARGUMENT),
+        ({"rerunnable": True}, UnsupportedAttribute, V1.INVALID_ARGUMENT),
+        ({"min_slots": 1, "max_slots": 3}, UnsupportedAttribute, V1.INVALID_ARGUMENT),
+        ({"remote_command": ""}, InvalidArgument, V1.INVALID_ATTRIBUTE_VALUE),
+        ({"job_category": ""}, InvalidArgument, V1.INVALID_ATTRIBUTE_VALUE),
+        ({"native": "cores"}, InvalidArgument, V1.INVALID_ATTRIBUTE_FORMAT),
+        ({"native": "'"}, InvalidArgument, V1.INVALID_ATTRIBUTE_FORMAT),
+        ({"native": "cores=0"}, InvalidArgument, V1.INVALID_ATTRIBUTE_VALUE),
+        ({"native": "memory=inf"}, InvalidArgument, V1.INVALID_ATTRIBUTE_VALUE),
+        ({"native": "cores=2", "min_slots": 2}, InvalidArgument, V1.CONFLICTING_ATTRIBUTE_VALUES),
+        ({"native": "customer=a", "accounting_id": "b"}, InvalidArgument, V1.CONFLICTING_ATTRIBUTE_VALUES),
+        ({"deadline_time": 99.0}, InvalidArgument, V1.INVALID_ATTRIBUTE_VALUE),
+        ({"deadline_time": 200.0, "start_time": 300.0}, InvalidArgument, V1.INVALID_ATTRIBUTE_VALUE),
+    ],
+)
 def test_faulty_templates_are_named(change, fault, v1_number):
     with pytest.raises(fault) as caught:
         translate.request_of(template(**change), 100.0)
@@ -76,31 +100,63 @@
 
 
 def test_a_template_becomes_a_job():
-    request = translate.request_of(template(
-        args=("c-$drmaa_incr_ph$",), native="service=readers customer='school 7' cores=2 memory=3 wait=50",
-        start_time=110.0, deadline_time=130.0, submit_as_hold=True, output_path="out.$drmaa_incr_ph$"), 100.0, 4)
+    request = translate.request_of(
+        template(
+            args=("c-$drmaa_incr_ph$",),
+            native="service=readers customer='school 7' cores=2 memory=3 wait=50",
+            start_time=110.0,
+            deadline_time=130.0,
+            submit_as_hold=True,
+            output_path="out.$drmaa_incr_ph$",
+        ),
+        100.0,
+        4,
+    )
     ask = request.ask
     assert (ask.offering, ask.customer, ask.service, ask.cores, ask.memory) == (
-        "course-reader", "school 7", "readers", 2.0, 3.0)
+        "course-reader",
+        "school 7",
+        "readers",
+        2.0,
+        3.0,
+    )
     assert (ask.wait, request.start_in, request.hold) == (20.0, 10.0, True)
     assert (list(request.work.arguments), request.work.output, request.work.index) == (["c-4"], "out.4", 4)
     assert translate.request_of(template(), 0.0).ask.service == "print"
 
 
-@pytest.mark.parametrize("text, found", [
-    ("13:00", "2026-01-31T13:00"), ("11:00", "2026-02-01T11:00"), ("30 11:00", "2026-03-30T11:00"),
-    ("01/15 08:00", "2027-01-15T08:00"), ("26/05/01 06:00:07", "2026-05-01T06:00:07"),
-    ("2027/05/01 06:00", "2027-05-01T06:00"), ("12:30 -02:00", "2026-01-31T14:30")])
+@pytest.mark.parametrize(
+    "text, found",
+    [
+        ("13:00", "2026-01-31T13:00"),
+        ("11:00", "2026-02-01T11:00"),
+        ("30 11:00", "2026-03-30T11:00"),
+        ("01/15 08:00", "2027-01-15T08:00"),
+        ("26/05/01 06:00:07", "2026-05-01T06:00:07"),
+        ("2027/05/01 06:00", "2027-05-01T06:00"),
+        ("12:30 -02:00", "2026-01-31T14:30"),
+    ],
+)
 def test_partial_times_lie_ahead(text, found):
     at = v1.moment(text, datetime(2026, 1, 31, 12, 0, tzinfo=timezone.utc))
-    assert datetime.fromtimestamp(at, timezone.utc) == datetime.fromisoformat(found).replace(tzinfo=timezone.utc)
-
-
-@pytest.mark.parametrize("name, values, number", [
-    ("drmaa_start_time", ["noon"], V1.INVALID_ATTRIBUTE_FORMAT), ("drmaa_start_time", ["25:00"], V1.INVALID_ATTRIBUTE_VALUE),
-    ("drmaa_output_path", ["/out"], V1.INVALID_ATTRIBUTE_FORMAT), ("drmaa_output_path", ["h:/o"], V1.INVALID_ATTRIBUTE_VALUE),
-    ("drmaa_join_files", ["yes"], V1.INVALID_ATTRIBUTE_FORMAT), ("drmaa_js_state", ["on"], V1.INVALID_ATTRIBUTE_VALUE),
-    ("drmaa_v_env", ["A"], V1.INVALID_ATTRIBUTE_FORMAT), ("drmaa_wct_hlimit", ["1"], V1.INVALID_ARGUMENT)])
+    assert datetime.fromtimestamp(at, timezone.utc) == datetime.fromisoformat(found).replace(
+        tzinfo=timezone.utc
+    )
+
+
+@pytest.mark.parametrize(
+    "name, values, number",
+    [
+        ("drmaa_start_time", ["noon"], V1.INVALID_ATTRIBUTE_FORMAT),
+        ("drmaa_start_time", ["25:00"], V1.INVALID_ATTRIBUTE_VALUE),
+        ("drmaa_output_path", ["/out"], V1.INVALID_ATTRIBUTE_FORMAT),
+        ("drmaa_output_path", ["h:/o"], V1.INVALID_ATTRIBUTE_VALUE),
+        ("drmaa_join_files", ["yes"], V1.INVALID_ATTRIBUTE_FORMAT),
+        ("drmaa_js_state", ["on"], V1.INVALID_ATTRIBUTE_VALUE),
+        ("drmaa_v_env", ["A"], V1.INVALID_ATTRIBUTE_FORMAT),
+        ("drmaa_wct_hlimit", ["1"], V1.INVALID_ARGUMENT),
+    ],
+)
 def test_attributes_are_checked_as_they_are_set(name, values, number):
     with pytest.raises(InvalidArgument) as caught:
         v1.check(name, values, datetime.now(timezone.utc))
@@ -109,6 +165,7 @@
 
 # Python
 
+
 def test_sessions_jobs_and_arrays(ground):
     manager = SessionManager()
     with manager.create_job_session("py", ground.contact) as session:
@@ -127,7 +184,11 @@
         held.release()
         info = held.wait_terminated(30)
         assert (info.job_state, info.exit_status, info.job_name, info.queue_name) == (
-            JobState.DONE, 0, "errata", "course-reader")
+            JobState.DONE,
+            0,
+            "errata",
+            "course-reader",
+        )
         assert info.wallclock_time > 0 and info.cpu_time > 0 and info.finish_time >= info.submission_time
         with pytest.raises(InvalidState):
             held.hold()
@@ -179,7 +240,7 @@
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(opened)
-        await anyio.sleep(0.3)      # the other one has been heard by then; without the guard the session is open
+        await anyio.sleep(0.3)  # the other one has been heard by then; without the guard the session is open
         assert not owners
         net.other.set()
     assert owners == [[key]]
@@ -188,9 +249,11 @@
 def test_faulty_sessions_are_named(ground, monkeypatch):
     monkeypatch.delenv("LINEDEAL_CONTACT", raising=False)
     manager = SessionManager()
-    for contact, fault, number in (("", InvalidSession, V1.NO_DEFAULT_CONTACT_STRING_SELECTED),
-                                   ("x", InvalidSession, V1.INVALID_CONTACT_STRING),
-                                   ("127.0.0.1:1", DrmCommunication, V1.DRM_COMMUNICATION_FAILURE)):
+    for contact, fault, number in (
+        ("", InvalidSession, V1.NO_DEFAULT_CONTACT_STRING_SELECTED),
+        ("x", InvalidSession, V1.INVALID_CONTACT_STRING),
+        ("127.0.0.1:1", DrmCommunication, V1.DRM_COMMUNICATION_FAILURE),
+    ):
         with pytest.raises(fault) as caught:
             manager.create_job_session("", contact)
         assert caught.value.v1 is number
@@ -200,7 +263,10 @@
 
 def test_jobs_are_followed_over_a_killed_controller(ground):
     with SessionManager().create_job_session("killed", ground.contact) as session:
-        jobs = [session.run_job(template(job_category=category)) for category in ("course-reader", "photo-book") * 4]
+        jobs = [
+            session.run_job(template(job_category=category))
+            for category in ("course-reader", "photo-book") * 4
+        ]
         home = session.inner.owner.homes[0].address
         name = next(name for name, place in ground.places.items() if place[1] == home[1])
         ground.call(ground.kill, name)
@@ -289,30 +355,54 @@
 
 def test_the_unmodified_drmaa_package_runs_through_the_c_library(ground, library, tmp_path):
     (tmp_path / "script.py").write_text(SCRIPT)
-    done = subprocess.run([sys.executable, "-W", "error", str(tmp_path / "script.py"), ground.contact],
-                          capture_output=True, text=True, timeout=90, env=env(DRMAA_LIBRARY_PATH=str(library)))
+    done = subprocess.run(
+        [sys.executable, "-W", "error", str(tmp_path / "script.py"), ground.contact],
+        capture_output=True,
+        text=True,
+        timeout=90,
+        env=env(DRMAA_LIBRARY_PATH=str(library)),
+    )
     assert (done.stdout, done.stderr) == (SAID, "")
 
 
-@pytest.mark.parametrize("contact, name", [
-    ("nonsense", "InvalidContactStringException"), ("127.0.0.1:1", "DrmsInitException"),
-    ("", "NoDefaultContactStringSelectedException")])
+@pytest.mark.parametrize(
+    "contact, name",
+    [
+        ("nonsense", "InvalidContactStringException"),
+        ("127.0.0.1:1", "DrmsInitException"),
+        ("", "NoDefaultContactStringSelectedException"),
+    ],
+)
 def test_sessions_that_cannot_be_opened_give_the_standards_errors(library, contact, name):
-    script = ("import drmaa, sys\ntry:\n    drmaa.Session.initialize(sys.argv[1])\n"
-              "except drmaa.errors.DrmaaException as error:\n    print(type(error).__name__)\n")
-    done = subprocess.run([sys.executable, "-c", script, contact], capture_output=True, text=True, timeout=60,
-                          env=env(DRMAA_LIBRARY_PATH=str(library)))
+    script = (
+        "import drmaa, sys\ntry:\n    drmaa.Session.initialize(sys.argv[1])\n"
+        "except drmaa.errors.DrmaaException as error:\n    print(type(error).__name__)\n"
+    )
+    done = subprocess.run(
+        [sys.executable, "-c", script, contact],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env=env(DRMAA_LIBRARY_PATH=str(library)),
+    )
     assert done.stdout.strip() == name, done.stderr
 
 
 def test_the_agent_ends_with_its_program(ground, library):
     # guards against agents that are left behind, each with its links, by programs that were killed
     script = "import drmaa, os, sys\ndrmaa.Session.initialize(sys.argv[1])\nos.kill(os.getpid(), 9)\n"
-    subprocess.run([sys.executable, "-c", script, f"{ground.contact}/orphan"], timeout=60,
-                   env=env(DRMAA_LIBRARY_PATH=str(library)))
+    subprocess.run(
+        [sys.executable, "-c", script, f"{ground.contact}/orphan"],
+        timeout=60,
+        env=env(DRMAA_LIBRARY_PATH=str(library)),
+    )
     deadline = time.time() + 20
     while time.time() < deadline:
-        left = [p for p in Path("/proc").glob("[0-9]*/cmdline") if b"/orphan" in read(p) and b"drmaa-agent" in read(p)]
+        left = [
+            p
+            for p in Path("/proc").glob("[0-9]*/cmdline")
+            if b"/orphan" in read(p) and b"drmaa-agent" in read(p)
+        ]
         if not left:
             return
         time.sleep(0.1)
@@ -328,9 +418,25 @@
 
 def test_a_c_program_runs_through_the_library(ground, library, tmp_path):
     program = tmp_path / "course_reader"
-    subprocess.run([build.compiler(), "-Wall", "-Wextra", "-Werror", str(EXAMPLES / "drmaa/course_reader.c"), "-I",
-                    str(build.SOURCE), str(library), "-o", str(program)], check=True, timeout=60)
-    done = subprocess.run([str(program), ground.contact], capture_output=True, text=True, timeout=90, env=env())
+    subprocess.run(
+        [
+            build.compiler(),
+            "-Wall",
+            "-Wextra",
+            "-Werror",
+            str(EXAMPLES / "drmaa/course_reader.c"),
+            "-I",
+            str(build.SOURCE),
+            str(library),
+            "-o",
+            str(program),
+        ],
+        check=True,
+        timeout=60,
+    )
+    done = subprocess.run(
+        [str(program), ground.contact], capture_output=True, text=True, timeout=90, env=env()
+    )
     assert done.returncode == 0 and "reader done, exited 1 status 0" in done.stdout, done
     assert "chapters done 3" in done.stdout and "  outcome=done" in done.stdout
 
@@ -349,23 +455,39 @@
 
 # examples and the command line
 
+
 def test_the_python_example(ground):
-    done = subprocess.run([sys.executable, str(EXAMPLES / "drmaa/course_reader.py"), ground.contact],
-                          capture_output=True, text=True, timeout=90, env=env())
+    done = subprocess.run(
+        [sys.executable, str(EXAMPLES / "drmaa/course_reader.py"), ground.contact],
+        capture_output=True,
+        text=True,
+        timeout=90,
+        env=env(),
+    )
     assert done.returncode == 0 and "reader done status 0 on h" in done.stdout, done
     assert "chapters 1 3 5 done" in done.stdout
 
 
 def test_the_shell_example(ground):
-    done = subprocess.run([str(EXAMPLES / "drmaa/course_reader.sh"), ground.contact + "/shell"], capture_output=True,
-                          text=True, timeout=90, env=env())
+    done = subprocess.run(
+        [str(EXAMPLES / "drmaa/course_reader.sh"), ground.contact + "/shell"],
+        capture_output=True,
+        text=True,
+        timeout=90,
+        env=env(),
+    )
     assert done.returncode == 0, done
     assert done.stdout.count("done at h") >= 5
 
 
 def linedeal(*args, contact="", status=0, **more):
-    done = subprocess.run([sys.executable, "-m", "linedeal", *args], capture_output=True, text=True, timeout=60,
-                          env=env(contact, **more))
+    done = subprocess.run(
+        [sys.executable, "-m", "linedeal", *args],
+        capture_output=True,
+        text=True,
+        timeout=60,
+        env=env(contact, **more),
+    )
     assert done.returncode == status, done
     return done
 
@@ -374,21 +496,34 @@
     contact = ground.contact + "/cli"
     assert "no contact" in linedeal("status", status=2).stderr
     assert "names no session" in linedeal("submit", "course-reader", contact=ground.contact, status=2).stderr
-    key = linedeal("submit", "press-feed", "--hold", "--name", "feed 7", "--", "feed", "7", contact=contact).stdout.strip()
+    key = linedeal(
+        "submit", "press-feed", "--hold", "--name", "feed 7", "--", "feed", "7", contact=contact
+    ).stdout.strip()
     (found,) = json.loads(linedeal("status", "--json", contact=contact).stdout)
     assert (found["key"], found["stage"], found["name"], found["service"]) == (key, "held", "feed 7", "feed")
-    assert "not within its time" in linedeal("wait", key, "--timeout", "0.3", contact=contact, status=1).stderr
+    assert (
+        "not within its time" in linedeal("wait", key, "--timeout", "0.3", contact=contact, status=1).stderr
+    )
     assert linedeal("kill", key, contact=contact).stdout.startswith(f"{key}  rejected")
     assert "not done: it has ended" in linedeal("hold", key, contact=contact, status=1).stderr
     assert "no job 'nope'" in linedeal("status", "nope", contact=contact, status=1).stderr
-    linedeal("wait", key, contact=contact, status=1)        # it did not run
+    linedeal("wait", key, contact=contact, status=1)  # it did not run
     assert "no offering" in linedeal("submit", "nothing", contact=contact, status=1).stderr
-    assert "--bulk 3-1" in linedeal("submit", "course-reader", "--bulk", "3-1", contact=contact, status=2).stderr
+    assert (
+        "--bulk 3-1" in linedeal("submit", "course-reader", "--bulk", "3-1", contact=contact, status=2).stderr
+    )
     # a bulk needs neither a command nor a name
-    assert linedeal("submit", "course-reader", "--bulk", "2-3", "--key", "b", contact=contact).stdout.split() == ["b.2", "b.3"]
+    assert linedeal(
+        "submit", "course-reader", "--bulk", "2-3", "--key", "b", contact=contact
+    ).stdout.split() == ["b.2", "b.3"]
     assert "placed at h" in linedeal("submit", "course-reader", "--answer", contact=contact).stdout.replace(
-        "running", "placed")
-    assert linedeal("status", contact=contact).stdout.count(key) == 0 < linedeal("history", contact=contact).stdout.count(key)
+        "running", "placed"
+    )
+    assert (
+        linedeal("status", contact=contact).stdout.count(key)
+        == 0
+        < linedeal("history", contact=contact).stdout.count(key)
+    )
     assert "is not heard" in linedeal("status", contact="127.0.0.1:1," + contact).stderr
     assert "127.0.0.1:1: " in linedeal("status", contact="127.0.0.1:1/x", status=3).stderr
     text = linedeal("key").stdout
@@ -401,12 +536,16 @@
     # a job that its host fails has status 1, one that was ended has none and counts as 1 too
     with over_sockets(tmp_path / "long", CLUSTER, Habits(setup=0.02, life=500.0, look=0.001)) as slow:
         contact = slow.contact + "/run"
-        process = subprocess.Popen([sys.executable, "-m", "linedeal", "run", "course-reader"], text=True,
-                                   stdout=subprocess.PIPE, env=env(contact))
+        process = subprocess.Popen(
+            [sys.executable, "-m", "linedeal", "run", "course-reader"],
+            text=True,
+            stdout=subprocess.PIPE,
+            env=env(contact),
+        )
         deadline = time.time() + 20
         while "running" not in linedeal("status", contact=contact).stdout:
             assert time.time() < deadline
-        process.send_signal(2)      # Ctrl-C ends the job, and its end is waited for
+        process.send_signal(2)  # Ctrl-C ends the job, and its end is waited for
         out, _ = process.communicate(timeout=30)
         assert process.returncode == 1 and "stopped at" in out
 
@@ -424,7 +563,10 @@
             finally:
                 ended.set()
 
-    async with await anyio.create_unix_listener(tmp_path / "agent") as listener, anyio.create_task_group() as tasks:
+    async with (
+        await anyio.create_unix_listener(tmp_path / "agent") as listener,
+        anyio.create_task_group() as tasks,
+    ):
         tasks.start_soon(listener.serve, agent.Agent(Waiting()).handle)
         async with await anyio.connect_unix(tmp_path / "agent") as stream:
             await stream.send(agent.pack(["wait", "-1", "k"]))
@@ -432,7 +574,10 @@
                 await began.wait()
         with anyio.fail_after(5):
             await ended.wait()
-        for bad in (b"\xff" * 8, b"\0\0\0\1\xff\xff\xff\xff"):     # and what is no call ends its own connection only
+        for bad in (
+            b"\xff" * 8,
+            b"\0\0\0\1\xff\xff\xff\xff",
+        ):  # and what is no call ends its own connection only
             async with await anyio.connect_unix(tmp_path / "agent") as stream:
                 await stream.send(bad)
                 with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)), anyio.fail_after(5):
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -84,7 +84,7 @@
     register, one = Register(), holder("one")
     register.tick(one, 0.0)
     (first,) = [each for each in one.tick(1.6) if type(each) is Ask]
-    register.answer(first)                                      # made, and the answer is lost
+    register.answer(first)  # made, and the answer is lost
     (again,) = [each for each in one.tick(2.7) if type(each) is Ask]
     assert again.change == first.change and again.number != first.number
     assert one.answered(register.answer(again), 2.8) == [] and one.stand is Stand.OWNS
@@ -119,14 +119,20 @@
     assert three.may_act(9.4) == 2
 
 
-@pytest.mark.parametrize("become, says", [
-    (lambda: duties.acquired(Duty("n1", 3), "n2", 5, False), "n1 owns it, token 3"),
-    (lambda: duties.acquired(Duty("", 3, heir="n1"), "n2", 5, False), "it was handed to n1"),
-    (lambda: duties.renewed(Duty("n1", 3), "n1", 2), "n1 owns it by token 3, not n1 by 2"),
-    (lambda: duties.renewed(Duty("n1", 3), "n1", 3, bytes(7000)), "7000 bytes of progress, at most 6144 are kept"),
-    (lambda: duties.released(Duty("", 3), "n1", 3), "nobody owns it by token 3, not n1 by 3"),
-    (lambda: duties.decoded(b"x"), "the register holds no duty"),
-])
+@pytest.mark.parametrize(
+    "become, says",
+    [
+        (lambda: duties.acquired(Duty("n1", 3), "n2", 5, False), "n1 owns it, token 3"),
+        (lambda: duties.acquired(Duty("", 3, heir="n1"), "n2", 5, False), "it was handed to n1"),
+        (lambda: duties.renewed(Duty("n1", 3), "n1", 2), "n1 owns it by token 3, not n1 by 2"),
+        (
+            lambda: duties.renewed(Duty("n1", 3), "n1", 3, bytes(7000)),
+            "7000 bytes of progress, at most 6144 are kept",
+        ),
+        (lambda: duties.released(Duty("", 3), "n1", 3), "nobody owns it by token 3, not n1 by 3"),
+        (lambda: duties.decoded(b"x"), "the register holds no duty"),
+    ],
+)
 def test_what_a_duty_may_not_become(become, says):
     with pytest.raises(Refusal, match=says):
         become()
@@ -160,6 +166,7 @@
 
 # --- many courses
 
+
 def played(seeds, weather=Weather(), seconds=200.0) -> list[relay.Course]:
     return [Relay(seed, weather=weather).play(seconds) for seed in seeds]
 
@@ -167,8 +174,13 @@
 def test_through_freezes_cuts_losses_and_clocks_that_run_apart_no_old_owner_is_let_through():
     courses = played(range(12))
     assert [course.faults for course in courses] == [[]] * len(courses)
-    assert sum(course.owners for course in courses) > 50 and sum(len(course.carried) for course in courses) > 3000
-    assert sum(course.refused for course in courses) > 0, "no old owner ever tried: the weather proves nothing"
+    assert (
+        sum(course.owners for course in courses) > 50
+        and sum(len(course.carried) for course in courses) > 3000
+    )
+    assert sum(course.refused for course in courses) > 0, (
+        "no old owner ever tried: the weather proves nothing"
+    )
 
 
 def test_two_hundred_controllers_that_start_at_one_moment_get_one_owner():
@@ -203,10 +215,16 @@
     "a lease without margin and drift": (LeaseTiming, "acts", property(lambda self: self.lease * 1.3)),
     "others that do not wait": (LeaseTiming, "waits", lambda self, lease: 0.5),
     "a version that is not checked": (slots, "changed", any_version),
-    "an owner that does not look at its clock": (Holder, "may_act", lambda self, now: self.token if self.stand in (
-        Stand.OWNS, Stand.LEAVES) else None),
-    "progress that is not handed on": (holders.duties, "renewed", lambda duty, who, token, progress=None: Duty(
-        who, token, duty.lease, duty.beat + 1, "", b"")),
+    "an owner that does not look at its clock": (
+        Holder,
+        "may_act",
+        lambda self, now: self.token if self.stand in (Stand.OWNS, Stand.LEAVES) else None,
+    ),
+    "progress that is not handed on": (
+        holders.duties,
+        "renewed",
+        lambda duty, who, token, progress=None: Duty(who, token, duty.lease, duty.beat + 1, "", b""),
+    ),
 }
 
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -32,7 +32,7 @@
     effects = d.rest(1.6)
     second = d.only(do.SendLaunch, effects)[0]
     assert second.host != first.host
-    assert do.SendStop(first.host, on.LaunchId(MINE, first.number)) in effects     # called off as it is given up
+    assert do.SendStop(first.host, on.LaunchId(MINE, first.number)) in effects  # called off as it is given up
     d.turn(1.6, on.Left(second.host, 1, (second.number,)))
     late = d.said(on.Accepted, first, 1.7)
     assert d.verdicts(late) == []
@@ -56,7 +56,9 @@
     other = "b" if sent.host == "a" else "a"
     wrong_host = d.turn(1.1, on.Accepted(other, on.LaunchId(MINE, sent.number)))
     assert d.verdicts(wrong_host) == []
-    d.turn(1.1, on.Refused(sent.host, on.LaunchId(MINE, 99), Why.CORES), on.Started("nowhere", on.LaunchId(1, 1)))
+    d.turn(
+        1.1, on.Refused(sent.host, on.LaunchId(MINE, 99), Why.CORES), on.Started("nowhere", on.LaunchId(1, 1))
+    )
     assert d.engine.counts["for an unknown launch"] == 3
     assert d.verdicts(d.said(on.Accepted, sent, 1.2)) == ["placed"]
 
@@ -73,7 +75,7 @@
     d = Drive()
     sent = d.launched(1.0, "feed", leave=False)
     again = d.only(do.SendLaunch, d.down(sent.host, 1.1, unsent=(sent.number,)))
-    assert [launch.host != sent.host for launch in again] == [True]     # irreversible, and yet launched again
+    assert [launch.host != sent.host for launch in again] == [True]  # irreversible, and yet launched again
 
 
 def test_a_redoable_job_is_launched_again_as_its_link_breaks():
@@ -98,7 +100,7 @@
     d.list("a", 1.0, boot=5, age=0.5)
     d.list("a", 1.2, boot=1, age=500.0)
     assert d.engine.fleet.hosts["a"].listed.boot == 5
-    d.list("a", 1.4, boot=5, age=3.0)      # the same boot, reckoned from a late line
+    d.list("a", 1.4, boot=5, age=3.0)  # the same boot, reckoned from a late line
     assert d.engine.module.hosts["a"].entry.booted == 0.5
 
 
@@ -151,8 +153,15 @@
     d = Drive()
     job = api.Job("c.2.9", "web", "", "s", 1.0, 1.0, 0.0)
     old, over = on.LaunchId(2, 9), on.LaunchId(2, 8)
-    effects = d.up("a", 1, 1.0, [on.Held(old, job, on.Phase.RUNNING),
-                                 on.Held(over, api.Job("c.2.8", "web", "", "s", 1.0, 1.0, 0.0), on.Phase.OVER)])
+    effects = d.up(
+        "a",
+        1,
+        1.0,
+        [
+            on.Held(old, job, on.Phase.RUNNING),
+            on.Held(over, api.Job("c.2.8", "web", "", "s", 1.0, 1.0, 0.0), on.Phase.OVER),
+        ],
+    )
     assert do.SendEndSeen("a", over) in effects
     assert "c.2.9" in d.engine.module.tracks
     assert d.only(do.SendEndSeen, d.turn(2.0, on.Over("a", old, Result.DONE, Why.UNTOLD)))
@@ -164,7 +173,7 @@
     sent = d.launched(1.0)
     d.said(on.Accepted, sent, 1.1)
     d.down(sent.host, 2.0)
-    assert sent.job.id in d.engine.module.tracks     # it runs on without the link
+    assert sent.job.id in d.engine.module.tracks  # it runs on without the link
     d.up(sent.host, 2, 3.0, age=0.5)
     assert sent.job.id not in d.engine.module.tracks
 
@@ -182,7 +191,7 @@
     # guards against a stop of five seconds: answers lie unread beside time-outs that are long due
     d = Drive()
     sent = d.launched(1.0, "feed")
-    effects = d.jump(6.99)      # woken late: the time-out is due, the yes not read yet
+    effects = d.jump(6.99)  # woken late: the time-out is due, the yes not read yet
     assert not d.only(do.Answer, effects)
     assert [note.event for note in d.only(do.Note, effects)] == ["stood still"]
     assert d.verdicts(d.said(on.Accepted, sent, 7.0)) == ["placed"]
@@ -218,18 +227,22 @@
 
 def test_over_the_bound_jobs_are_turned_away_before_they_are_taken():
     d = Drive()
-    d.list("ab", 0.1, mode=api.Mode.DRAINING)     # all wait
+    d.list("ab", 0.1, mode=api.Mode.DRAINING)  # all wait
     effects = [d.submit(1.0, key=f"k{i}") for i in range(6)]
     turned = d.only(do.TurnAway, effects[5])
     assert len(turned) == 1 and turned[0].retry_after > 0 and not d.only(do.Take, effects[5])
     assert all(d.only(do.Take, some) for some in effects[:5])
 
 
-@pytest.mark.parametrize("field, value", [("offering", "none"), ("cores", float("nan")), ("wait", float("inf")),
-                                          ("memory", 0.0), ("cores", -1.0)])
+@pytest.mark.parametrize(
+    "field, value",
+    [("offering", "none"), ("cores", float("nan")), ("wait", float("inf")), ("memory", 0.0), ("cores", -1.0)],
+)
 def test_what_cannot_be_placed_is_turned_away(field, value):
     d = Drive()
-    fields = dict(client=1, key="k", offering="web", customer="", service="s", cores=1.0, memory=1.0, wait=0.0)
+    fields = dict(
+        client=1, key="k", offering="web", customer="", service="s", cores=1.0, memory=1.0, wait=0.0
+    )
     effects = d.turn(1.0, on.Submitted(**{**fields, field: value}))
     assert [type(effect) for effect in effects] == [do.TurnAway]
 
@@ -279,7 +292,7 @@
     # guards against bad work that marks host after host for its customer's sound jobs
     d = Drive("abc")
     first = d.launched(1.0)
-    second, = erred(d, first, 1.1)
+    (second,) = erred(d, first, 1.1)
     assert second.host != first.host
     d.turn(1.1, on.Left(second.host, 1, (second.number,)))
     effects = d.said(on.Over, second, 1.2, Result.ERROR, Why.UNTOLD)
@@ -290,7 +303,7 @@
 def test_a_host_is_marked_once_its_error_is_seen_to_be_its_own():
     d = Drive("ab")
     first = d.launched(1.0)
-    second, = erred(d, first, 1.1)
+    (second,) = erred(d, first, 1.1)
     d.turn(1.1, on.Left(second.host, 1, (second.number,)))
     assert not d.engine.module.hosts[first.host].ill
     d.said(on.Accepted, second, 1.2)
--- a/tests/test_evenness.py
+++ b/tests/test_evenness.py
@@ -32,7 +32,10 @@
     both = [*samples(0.2, 0.2), *samples(0.9, 0.9, kind="press"), *samples(0.0, 0.4, t=0.1)]
     found = evenness.over_time(both)
     assert [(t, kind, round(at.most_over_mean, 2)) for t, kind, at in found] == [
-        (0.0, "press", 1.0), (0.0, "std", 1.0), (0.1, "std", 2.0)]
+        (0.0, "press", 1.0),
+        (0.0, "std", 1.0),
+        (0.1, "std", 2.0),
+    ]
 
 
 def test_an_idle_host_counts_only_while_another_of_its_kind_refuses():
@@ -57,7 +60,9 @@
     day = [*samples(0.0, 1.0, t=0.0), *samples(0.5, 0.5, t=5.0)]
     (kind,) = of_day(day, arrivals(["h0", "h1"] * 10, every=1.0), 1.0, since=4.0, until=9.0)
     assert (kind.most_over_mean, kind.launches, kind.hosts) == (1.0, 6, 2)
-    assert evenness.noise([2.0, 2.0]) == (2.0, 0.0) and math.isclose(evenness.noise([1.0, 2.0, 3.0])[1], 1 / math.sqrt(3))
+    assert evenness.noise([2.0, 2.0]) == (2.0, 0.0) and math.isclose(
+        evenness.noise([1.0, 2.0, 3.0])[1], 1 / math.sqrt(3)
+    )
 
 
 @pytest.mark.parametrize("trouble", TROUBLES)
@@ -98,7 +103,9 @@
     assert len(processes) == 1 + 1 + 6 + 4 and all(process.returncode is not None for process in processes)
     asked, ends = sum(found.tally.asked.values()), found.tally.ends["web"]
     assert asked > 20 and sum(ends.values()) == asked and ends["placed"] > 0.8 * asked
-    assert found.memory > 10 and {sample.host for sample in found.samples} == {spec.name for spec in day.hosts}
+    assert found.memory > 10 and {sample.host for sample in found.samples} == {
+        spec.name for spec in day.hosts
+    }
     assert len({arrival.controller for arrival in found.arrivals}) == 6
     rate = len({sample.t for sample in found.samples if 2 <= sample.t <= 12})
     assert rate > 80, "ten samples a second"
@@ -115,6 +122,7 @@
 
                     async def played():
                         results.append(await play_on_rig(rig))
+
                     tasks.start_soon(played)
                     await anyio.sleep(3.0)
                     await rig.kill("h01")
@@ -125,7 +133,9 @@
                 return results[0]
 
     found = anyio.run(main)
-    at = {host: sorted(sample.t for sample in found.samples if sample.host == host) for host in ("h01", "h03")}
+    at = {
+        host: sorted(sample.t for sample in found.samples if sample.host == host) for host in ("h01", "h03")
+    }
     assert not [t for t in at["h01"] if 3.5 < t < 6.5] and [t for t in at["h01"] if t > 8.5]
     assert [t for t in at["h03"] if 3.5 < t < 6.5]
     assert not [arrival for arrival in found.arrivals if arrival.host == "h02" and 4.0 < arrival.t < 6.8]
@@ -133,10 +143,14 @@
 
 def test_parts_of_the_load_add_up():
     from linedeal.lab.load import Tally
+
     one = Tally()
     one.took("web", 0.1)
-    part = {"asked": {"web": 2}, "ends": {"web": {"placed": 2}},
-            "delays": {"web": one.delays["web"].encode().decode()}}
+    part = {
+        "asked": {"web": 2},
+        "ends": {"web": {"placed": 2}},
+        "delays": {"web": one.delays["web"].encode().decode()},
+    }
     both = added([json.loads(json.dumps(part))] * 2)
     assert both.asked == {"web": 4} and both.ends == {"web": {"placed": 4}}
     assert both.delays["web"].get_total_count() == 2 and both.delays["web"].get_value_at_percentile(50) == 100
@@ -144,6 +158,7 @@
 
 def test_a_plot_of_two_policies_is_written(tmp_path):
     from linedeal.lab.heat import draw
+
     day = [one for t in range(20) for one in samples(0.1, t / 20, t=t / 10)]
     draw(tmp_path / "load.png", {"a": (day, arrivals(["h0"] * 5)), "b": (day, [])}, [(1.0, "burst")])
     assert (tmp_path / "load.png").stat().st_size > 5000
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -25,6 +25,7 @@
 
 # customers: what do the others notice?
 
+
 @pytest.mark.parametrize("field", ["offering", "customer", "service"])
 def test_a_name_without_end_is_turned_away_in_few_bytes(field):
     d = Watched()
@@ -36,7 +37,7 @@
 
 def test_one_customer_cannot_use_up_what_a_controller_may_hold():
     d = Watched()
-    d.list("ab", 0.1, mode=Mode.DRAINING)     # all wait
+    d.list("ab", 0.1, mode=Mode.DRAINING)  # all wait
     d.engine.cluster = replace(d.engine.cluster, limits=replace(d.engine.cluster.limits, held=40))
     crowd = [d.ask(1.0, key=f"k{i}", customer="crowd") for i in range(60)]
     others = [d.ask(1.1, key=f"o{i}", customer=f"school{i}", client=2) for i in range(4)]
@@ -55,27 +56,31 @@
     for i in range(40):
         sent = d.only(do.SendLaunch, d.ask(1.2 + i / 100, key=f"k{i}", customer="crowd", session="c"))[0]
         d.yes(1.2 + i / 100, sent)
-        d.turn(1.2 + i / 100, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.DONE, api.Why.UNTOLD))
+        d.turn(
+            1.2 + i / 100, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.DONE, api.Why.UNTOLD)
+        )
     assert len(d.engine.sessions.ledger.entries) <= 12
     effects = d.ask(2.0, "feed", "press", customer="paper", session="p", client=9)
-    assert [a.verdict for a in d.only(do.Answer, effects)] == [do.Verdict.PLACED] and not d.only(do.SendLaunch, effects)
+    assert [a.verdict for a in d.only(do.Answer, effects)] == [do.Verdict.PLACED] and not d.only(
+        do.SendLaunch, effects
+    )
 
 
 def test_thousands_of_shapes_that_wait_cost_a_bounded_number_of_tries_a_turn(monkeypatch):
     d = Watched()
     d.list("ab", 0.1, mode=Mode.DRAINING)
-    for i in range(2000):       # half of the sizes grow, half fall: none says anything of the next
+    for i in range(2000):  # half of the sizes grow, half fall: none says anything of the next
         d.ask(0.2, key=f"k{i}", cores=1.0 + i / 1000, memory=4.0 - i / 1000)
     tries, choose = [], d.engine.module.choose
     monkeypatch.setattr(d.engine.module, "choose", lambda track: tries.append(track) or choose(track))
     d.list("ab", 0.3, mode=Mode.DRAINING)
     assert 0 < len(tries) <= 200
-    d.turn(0.4)     # the turns after it look at the rest
+    d.turn(0.4)  # the turns after it look at the rest
     for _ in range(30):
         d.rest(d.now + 0.01)
     assert len(tries) >= 1500
     sent = d.only(do.SendLaunch, d.list("ab", 0.8, free_cores=9.0, free_memory=18.0))
-    assert sent and sent[0].job.id == "c.3.1"      # the first of the order is not passed over
+    assert sent and sent[0].job.id == "c.3.1"  # the first of the order is not passed over
     d.kept(7)
 
 
@@ -112,7 +117,7 @@
     d.yes(1.0, d.only(do.SendLaunch, d.ask(1.0, "pair", service="old"))[0])
     for i in range(20):
         d.yes(1.1, d.only(do.SendLaunch, d.ask(1.1, service=f"s{i}", key=f"k{i}", cores=0.01))[0])
-    assert not d.only(do.SendLaunch, d.ask(1.2, "pair", service="old", key="again"))    # one a host
+    assert not d.only(do.SendLaunch, d.ask(1.2, "pair", service="old", key="again"))  # one a host
     assert not d.only(do.SendLaunch, d.rest(6.0))
 
 
@@ -121,9 +126,17 @@
     for i in range(3):
         sent = d.only(do.SendLaunch, d.ask(1.0 + i / 10, key=f"bad{i}", customer="bad", service="bad"))[0]
         d.yes(1.0 + i / 10, sent)
-        d.turn(1.0 + i / 10, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.ERROR, api.Why.UNTOLD))
-    sent = d.only(do.SendLaunch, [e for i in range(16) for e in
-                                  d.ask(1.4, key=f"g{i}", customer="good", service=f"g{i}", cores=4.0, memory=0.1)])
+        d.turn(
+            1.0 + i / 10, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.ERROR, api.Why.UNTOLD)
+        )
+    sent = d.only(
+        do.SendLaunch,
+        [
+            e
+            for i in range(16)
+            for e in d.ask(1.4, key=f"g{i}", customer="good", service=f"g{i}", cores=4.0, memory=0.1)
+        ],
+    )
     assert {launch.host for launch in sent} == set("abcd")
     for launch in sent:
         d.yes(1.5, launch)
@@ -137,7 +150,7 @@
         for launch in d.only(do.SendLaunch, d.ask(1.0, key=f"t{i}", service="tiny", cores=1e-9, memory=1e-9)):
             d.yes(1.0, launch)
     assert sorted(len(host.jobs) for host in d.engine.module.hosts.values()) == [50, 50]
-    done = next(iter(d.engine.launches.values()))       # one ends: another may go there
+    done = next(iter(d.engine.launches.values()))  # one ends: another may go there
     assert d.only(do.SendLaunch, d.turn(1.1, on.Over(done.host, done.id, api.Result.DONE, api.Why.UNTOLD)))
     d.kept(10)
 
@@ -160,7 +173,7 @@
         d.ask(1.0, key=f"k{i}", session="s", hold=i % 2 == 0, start_in=1e6 * (i % 2))
         d.turn(1.0, on.TakenBack(1, f"k{i}", "s"))
     assert len(d.engine.timers.heap) <= 30 and not d.engine.taken
-    assert d.only(do.TurnAway, d.ask(1.1, session="s", start_in=1e9))       # decades ahead
+    assert d.only(do.TurnAway, d.ask(1.1, session="s", start_in=1e9))  # decades ahead
 
 
 def test_an_order_repeated_without_end_leaves_no_timers_behind(monkeypatch):
@@ -171,8 +184,8 @@
         d.turn(1.0 + i * 0.1, on.Ordered(1, "s", "k", OrderKind.RELEASE if i % 2 == 0 else OrderKind.HOLD))
         for launch in list(d.engine.launches.values()):
             d.turn(d.now, on.Refused(launch.host, launch.id, api.Why.UNTOLD, ""))
-        d.list("ab", d.now, free_cores=-9.0)        # so that it is never placed, and can be held again
-    d.rest(d.now + 70.0)        # until launches and strays are forgotten
+        d.list("ab", d.now, free_cores=-9.0)  # so that it is never placed, and can be held again
+    d.rest(d.now + 70.0)  # until launches and strays are forgotten
     d.ask(d.now, session="s", key="last", hold=True)
     d.turn(d.now, on.TakenBack(1, "last", "s"))
     assert sum(kind == "held too long" for _, _, kind, _ in d.engine.timers.heap) <= 12
@@ -183,15 +196,32 @@
 SAID = {
     "use": lambda d, sent, x: [on.Used(sent.host, on.LaunchId(3, sent.number), x, x)],
     "service": lambda d, sent, x: [on.Served(sent.host, on.LaunchId(3, sent.number), x, x)],
-    "list": lambda d, sent, x: [on.ListHeard((replace(d.engine.fleet.hosts[sent.host].listed, free_cores=x,
-                                                      free_memory=x),), False, 2)],
-    "probe": lambda d, sent, x: [on.Reported(sent.host, number, (("idle_cores", x), ("idle_memory", x)))
-                                 for number, host in d.engine.probes.items() if host == sent.host],
-    "held": lambda d, sent, x: [on.LinkUp(sent.host, 9, 1, 50.0, (
-        on.Held(on.LaunchId(3, sent.number), sent.job, on.Phase.RUNNING),
-        on.Held(on.LaunchId(1, 5), replace(JOB, cores=x, memory=x), on.Phase.RUNNING)), False)],
-    "age": lambda d, sent, x: [on.ListHeard((replace(d.engine.fleet.hosts[sent.host].listed, boot=2, age=x),),
-                                            False, 2)],
+    "list": lambda d, sent, x: [
+        on.ListHeard(
+            (replace(d.engine.fleet.hosts[sent.host].listed, free_cores=x, free_memory=x),), False, 2
+        )
+    ],
+    "probe": lambda d, sent, x: [
+        on.Reported(sent.host, number, (("idle_cores", x), ("idle_memory", x)))
+        for number, host in d.engine.probes.items()
+        if host == sent.host
+    ],
+    "held": lambda d, sent, x: [
+        on.LinkUp(
+            sent.host,
+            9,
+            1,
+            50.0,
+            (
+                on.Held(on.LaunchId(3, sent.number), sent.job, on.Phase.RUNNING),
+                on.Held(on.LaunchId(1, 5), replace(JOB, cores=x, memory=x), on.Phase.RUNNING),
+            ),
+            False,
+        )
+    ],
+    "age": lambda d, sent, x: [
+        on.ListHeard((replace(d.engine.fleet.hosts[sent.host].listed, boot=2, age=x),), False, 2)
+    ],
 }
 
 
@@ -205,16 +235,27 @@
     d.rest(1.9)
     more = [d.only(do.SendLaunch, d.ask(2.0, key=f"k{i}", service=f"new{i}", cores=0.5)) for i in range(12)]
     assert all(more), f"{sum(map(bool, more))} of 12 were sent"
-    assert all(-INF < figure < INF for service in d.engine.module.usual.values()
-               for figure in (service.cores, service.memory))
+    assert all(
+        -INF < figure < INF
+        for service in d.engine.module.usual.values()
+        for figure in (service.cores, service.memory)
+    )
     d.kept(20)
 
 
 def test_one_hosts_figures_do_not_fill_those_that_no_list_has_told_of():
     d = Watched("ab")
-    d.turn(1.0, on.ListHeard((replace(d.engine.fleet.hosts["a"].listed, free_cores=-1e300, free_memory=-1e300),
-                              replace(d.engine.fleet.hosts["b"].listed, id="c", free_cores=None, free_memory=None)),
-                             False, 2))
+    d.turn(
+        1.0,
+        on.ListHeard(
+            (
+                replace(d.engine.fleet.hosts["a"].listed, free_cores=-1e300, free_memory=-1e300),
+                replace(d.engine.fleet.hosts["b"].listed, id="c", free_cores=None, free_memory=None),
+            ),
+            False,
+            2,
+        ),
+    )
     d.ask(1.5)
     module = d.engine.module
     track = next(iter(module.tracks.values()))
@@ -225,7 +266,10 @@
 def test_a_host_that_no_list_has_told_of_counts_as_the_others_do():
     d = Watched("")
     listed = on.ListedHost("a", ("x",), "std", "z", 0, Mode.SERVING, 1, 100.0, -9.5, -9.5)
-    d.turn(1.0, on.ListHeard((listed, replace(listed, id="b"), replace(listed, id="c", free_cores=None)), True, 1))
+    d.turn(
+        1.0,
+        on.ListHeard((listed, replace(listed, id="b"), replace(listed, id="c", free_cores=None)), True, 1),
+    )
     assert not d.only(do.SendLaunch, d.ask(1.5))
     d.turn(2.0, on.ListHeard((replace(listed, free_cores=5.0, free_memory=15.0),), False, 2))
     d.kept(9)
@@ -234,7 +278,9 @@
 def test_a_tiny_ask_says_nothing_of_the_offerings_other_jobs():
     d = Watched()
     for i in range(30):
-        sent = d.only(do.SendLaunch, d.ask(1.0, key=f"t{i}", customer="tiny", service="tiny", cores=1e-9, memory=1e-9))[0]
+        sent = d.only(
+            do.SendLaunch, d.ask(1.0, key=f"t{i}", customer="tiny", service="tiny", cores=1e-9, memory=1e-9)
+        )[0]
         d.yes(1.0, sent)
         for _ in range(5):
             d.turn(1.0, on.Used(sent.host, on.LaunchId(3, sent.number), 0.01, 0.01))
@@ -252,9 +298,12 @@
 
 # a configuration that changed between two lives
 
+
 def test_a_held_job_whose_offering_is_gone_is_rejected_when_its_time_comes():
-    for job, order in ((OpenJob("s", "k", replace(JOB, offering="gone"), 4.0, held=True, follow=True), True),
-                       (OpenJob("s", "k", replace(JOB, offering="gone"), 4.0, start_in=2.0, follow=True), False)):
+    for job, order in (
+        (OpenJob("s", "k", replace(JOB, offering="gone"), 4.0, held=True, follow=True), True),
+        (OpenJob("s", "k", replace(JOB, offering="gone"), 4.0, start_in=2.0, follow=True), False),
+    ):
         d = Watched()
         d.engine.recover((job,), ())
         if order:
@@ -266,25 +315,46 @@
 
 def test_what_runs_of_an_offering_that_is_gone_is_left_alone_and_its_end_told():
     from linedeal.engine.recovery import KeptAnswer
+
     d = Watched()
     ran = replace(JOB, offering="gone")
     d.engine.recover((), (KeptAnswer("s", "k", ran, "PLACED", "a", on.LaunchId(1, 4), follow=True),))
     d.turn(0.5, on.StandingAsked(1, "s", ""))
-    effects = d.turn(1.0, on.LinkUp("a", 5, 1, 50.0, (on.Held(on.LaunchId(1, 4), ran, on.Phase.RUNNING),), False))
+    effects = d.turn(
+        1.0, on.LinkUp("a", 5, 1, 50.0, (on.Held(on.LaunchId(1, 4), ran, on.Phase.RUNNING),), False)
+    )
     assert not d.only(do.SendStop, effects)
     effects = d.turn(2.0, on.Over("a", on.LaunchId(1, 4), api.Result.DONE, api.Why.UNTOLD))
     assert [told.stage.name for told in d.only(do.Standing, effects)] == ["DONE"]
     d.kept(9.0)
 
 
-@pytest.mark.parametrize("promise, launch_boot, verdict", [
-    ("IRREVERSIBLE", 0, "written off"), ("IRREVERSIBLE", 1, "rejected"), ("LABELLED ZONE 4", 0, "written off"),
-    ("", 0, "placed"), ("REDOABLE", 0, "placed")])
+@pytest.mark.parametrize(
+    "promise, launch_boot, verdict",
+    [
+        ("IRREVERSIBLE", 0, "written off"),
+        ("IRREVERSIBLE", 1, "rejected"),
+        ("LABELLED ZONE 4", 0, "written off"),
+        ("", 0, "placed"),
+        ("REDOABLE", 0, "placed"),
+    ],
+)
 def test_a_job_goes_on_by_the_effect_it_was_taken_under(promise, launch_boot, verdict):
     # the offering is redoable now; host a has another boot than the launch, so it may have run, or the same: it did not
     d = Watched()
-    d.engine.recover((OpenJob("s", "k", JOB, 4.0, (OldLaunch(on.LaunchId(1, 4), "a", launch_boot, False, 0.5),),
-                              promise=promise),), ())
+    d.engine.recover(
+        (
+            OpenJob(
+                "s",
+                "k",
+                JOB,
+                4.0,
+                (OldLaunch(on.LaunchId(1, 4), "a", launch_boot, False, 0.5),),
+                promise=promise,
+            ),
+        ),
+        (),
+    )
     d.up("a", 1, 0.1)
     d.rest(0.4)
     sent = d.only(do.SendLaunch, [effect for _, effect in d.log])
@@ -310,9 +380,9 @@
     sent = d.only(do.SendLaunch, d.ask(1.0, session="s"))[0]
     d.turn(1.0, on.Left("a", 1, (sent.number,)))
     d.list("ab", 1.1, mode=Mode.DRAINING)
-    d.down("a", 1.2)                                            # it may have run there
+    d.down("a", 1.2)  # it may have run there
     d.turn(1.3, on.Ordered(1, "s", "k", OrderKind.HOLD))
-    d.list("b", 70.0)                                           # a is gone for good
+    d.list("b", 70.0)  # a is gone for good
     d.up("b", 1, 70.0)
     again = d.only(do.SendLaunch, d.turn(71.0, on.Ordered(1, "s", "k", OrderKind.RELEASE)))
     assert [launch.host for launch in again] == ["b"]
@@ -324,10 +394,10 @@
     d = Watched("ab")
     mail = replace(JOB, offering="mail")
     d.engine.recover((OpenJob("s", "k", mail, 5.0, (OldLaunch(on.LaunchId(1, 4), "a", 1, False, 0.5),)),), ())
-    d.up("a", 2, 0.1, age=1.0)              # another boot: it may have run
-    d.engine.pending.clear()                # as in the turn in which it goes back ...
+    d.up("a", 2, 0.1, age=1.0)  # another boot: it may have run
+    d.engine.pending.clear()  # as in the turn in which it goes back ...
     d.engine.returning.clear()
-    d.list("b", 0.2)                        # ... and its host goes before it is there
+    d.list("b", 0.2)  # ... and its host goes before it is there
     d.engine.taken["c.1.1"].returning = True
     d.engine.taken["c.1.1"].risk = ("a", 0.0)
     d.engine.returning.append("c.1.1")
@@ -341,10 +411,10 @@
     d.list("ab", 0.1, mode=Mode.DRAINING)
     for i in range(20):
         assert d.only(do.Take, d.ask(1.0, key=f"k{i}", customer="crowd", session="c", work=b"x" * 60_000))
-    d.engine.room = 1_200_000, 1_300_000        # as the journal would say of that, bound included
+    d.engine.room = 1_200_000, 1_300_000  # as the journal would say of that, bound included
     assert d.only(do.TurnAway, d.ask(1.1, key="more", customer="crowd", session="c", work=b"x" * 60_000))
     assert d.only(do.Take, d.ask(1.1, key="school", customer="school", session="s"))
-    for i in range(20):     # as its jobs go it may have more
+    for i in range(20):  # as its jobs go it may have more
         d.turn(1.2, on.TakenBack(1, f"k{i}", "c"))
     assert d.only(do.Take, d.ask(1.3, key="more", customer="crowd", session="c"))
     assert d.engine.sessions.bytes.of == {"school": sessions.RECORD, "crowd": sessions.RECORD}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,7 +27,7 @@
 from linedeal.state import StoreFault
 
 LEASE = 2.0
-COUNCIL = f'''
+COUNCIL = f"""
 council {{
   id = "lapa"
   lease = {LEASE}
@@ -41,7 +41,7 @@
 member "c3" {{
   address = "council:3"
 }}
-'''
+"""
 
 
 class Fleet:
@@ -54,7 +54,10 @@
 
     async def sample(self) -> None:
         while True:
-            for name, kept, read in ((CENSUS, self.duties, duty.decoded), (census.RESULT, self.results, self.result)):
+            for name, kept, read in (
+                (CENSUS, self.duties, duty.decoded),
+                (census.RESULT, self.results, self.result),
+            ):
                 told = await self.asker.read(name, 1.0)
                 if told.outcome is Outcome.READ and told.value.body:
                     kept.append(read(told.value.body))
@@ -101,8 +104,11 @@
 
 def play(directory, course) -> None:
     (directory / "cluster.hcl").write_text(CLUSTER.replace("controllers = 1", "controllers = 5") + COUNCIL)
-    day = parse_day("cluster cluster.hcl\ncontrollers 5 zones a b\nhosts 2 kind std zones a b\nload web 1",
-                    "fleet.day", directory)
+    day = parse_day(
+        "cluster cluster.hcl\ncontrollers 5 zones a b\nhosts 2 kind std zones a b\nload web 1",
+        "fleet.day",
+        directory,
+    )
 
     async def main():
         with anyio.fail_after(240):
@@ -112,7 +118,9 @@
                     fleet = Fleet(ground, asker)
                     async with anyio.create_task_group() as tasks:
                         tasks.start_soon(fleet.sample)
-                        await fleet.until(lambda: fleet.owner() and fleet.results and fleet.results[-1].controllers == 5)
+                        await fleet.until(
+                            lambda: fleet.owner() and fleet.results and fleet.results[-1].controllers == 5
+                        )
                         await course(fleet)
                         fleet.judge()
                         tasks.cancel_scope.cancel()
@@ -132,6 +140,7 @@
     async def main():
         settings = CouncilSettings("x", places={name: ("127.0.0.1", 9) for name in ("c1", "c2", "c3")})
         async with Asker(settings, "c1/1", "", TcpNet(), lambda: 0.5) as asker:
+
             async def ask_one(member, said, within):
                 asked.append(member)
                 if member not in up:
@@ -165,9 +174,12 @@
         await fleet.ground.kill(owner)
         killed = anyio.current_time()
         await fleet.until(lambda: fleet.token() > token and fleet.results[-1].token > token)
-        assert anyio.current_time() - killed < 3 * LEASE + 2.0, "measured without other load: benchmarks/duties.py"
+        assert anyio.current_time() - killed < 3 * LEASE + 2.0, (
+            "measured without other load: benchmarks/duties.py"
+        )
         assert fleet.owner() != owner
         await fleet.until(lambda: owner in fleet.results[-1].missing, 20)
+
     play(tmp_path, course)
 
 
@@ -177,6 +189,7 @@
         fleet.ground.running[owner].terminate()
         await fleet.until(lambda: fleet.token() > token and fleet.owner() not in ("", owner))
         assert '"given up"' in fleet.log(owner), "nobody had to wait for its lease to end"
+
     play(tmp_path, course)
 
 
@@ -189,6 +202,7 @@
             await fleet.ground.stand(owner, False)
             await anyio.sleep(LEASE)
             assert fleet.results[-1].token > token and "duty lost" in fleet.log(owner)
+
     play(tmp_path, course)
 
 
@@ -202,17 +216,21 @@
         await fleet.until(lambda: "duty lost" in fleet.log(owner))
         await fleet.ground.cut(pairs, False)
         await anyio.sleep(LEASE)
+
     play(tmp_path, course)
 
 
 def test_a_duty_handed_over_twenty_times_in_a_minute_has_one_owner_at_a_time(tmp_path):
     async def course(fleet):
-        for _ in range(20):     # within a minute, where the machine has nothing else to do
+        for _ in range(20):  # within a minute, where the machine has nothing else to do
             token = fleet.token()
             await operator.hand(fleet.asker, CENSUS, "", 20.0)
             await fleet.until(lambda: fleet.token() > token and fleet.owner(), 40)
         number = fleet.results[-1].token
-        await fleet.until(lambda: fleet.results[-1].token > number or fleet.results[-1].token == fleet.token())
+        await fleet.until(
+            lambda: fleet.results[-1].token > number or fleet.results[-1].token == fleet.token()
+        )
+
     play(tmp_path, course)
 
 
@@ -230,6 +248,7 @@
         assert told.outcome is Outcome.DONE
         await until_status(fleet, "c3", lambda stands: stands["votes"] and stands["epoch"] == 2)
         await fleet.until(lambda: fleet.token() > token and fleet.results[-1].token > token)
+
     play(tmp_path, course)
 
 
@@ -241,11 +260,17 @@
         async with anyio.create_task_group() as tasks:
             with anyio.fail_after(30):
                 seat = await tasks.start(council.run)
-                async with Asker(replace(settings, places={"c1": seat}), "tester", "", TcpNet(), lambda: 0.5) as asker, \
-                        anyio.create_task_group() as asks:
+                async with (
+                    Asker(
+                        replace(settings, places={"c1": seat}), "tester", "", TcpNet(), lambda: 0.5
+                    ) as asker,
+                    anyio.create_task_group() as asks,
+                ):
+
                     async def one(number):
                         change = Change(f"x{number}", 0, b"x" * 8000)
                         answers.append((await asker.change(f"key{number}", change, 10.0)).outcome)
+
                     for number in range(30):
                         asks.start_soon(one, number)
             tasks.cancel_scope.cancel()
@@ -289,12 +314,17 @@
         await fleet.ground.stand("c3", True)
         await anyio.sleep(2 * LEASE)
         told = await fleet.asker.change("x", Change("x1", 0, b"x"), 3.5)
-        assert told.outcome is Outcome.UNKNOWN and {one.partition(":")[0] for one in told.silent} == {"c1", "c2", "c3"}
+        assert told.outcome is Outcome.UNKNOWN and {one.partition(":")[0] for one in told.silent} == {
+            "c1",
+            "c2",
+            "c3",
+        }
         assert await placed(fleet, "c1") and await placed(fleet, "c4")
         await fleet.ground.stand("c2", False)
         await fleet.ground.stand("c3", False)
         await fleet.until(lambda: fleet.token() > token)
         assert len(fleet.duties) > number
+
     play(tmp_path, course)
 
 
@@ -325,6 +355,7 @@
         number = len(fleet.results)
         await fleet.until(lambda: len(fleet.results) > number + 5, 10)
         await fleet.ground.stand("c1", False)
+
     play(tmp_path, course)
 
 
@@ -335,7 +366,9 @@
         async with anyio.create_task_group() as tasks:
             with anyio.fail_after(15):
                 seat = await tasks.start(council.run)
-                async with Asker(replace(settings, places={"c1": seat}), "tester", "", TcpNet(), lambda: 0.5) as asker:
+                async with Asker(
+                    replace(settings, places={"c1": seat}), "tester", "", TcpNet(), lambda: 0.5
+                ) as asker:
                     assert (await asker.change("x", Change("x1", 0, b"x"), 5.0)).outcome is Outcome.DONE
                     real = CouncilDisk.write
 
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -9,11 +9,17 @@
 from linedeal.net.memory import pipe
 from linedeal.protocol import FrameError, FrameReader, encode, frames, pb
 
-MESSAGES = st.lists(st.one_of(
-    st.builds(pb.Probe, number=st.integers(0, 2**64 - 1)),
-    st.builds(pb.Bye, reason=st.text(max_size=50), fenced=st.booleans()),
-    st.builds(lambda n: pb.HostList(version=n, hosts=[pb.HostEntry(id=f"h{i}") for i in range(n)]),
-              st.integers(0, 300))), max_size=6)
+MESSAGES = st.lists(
+    st.one_of(
+        st.builds(pb.Probe, number=st.integers(0, 2**64 - 1)),
+        st.builds(pb.Bye, reason=st.text(max_size=50), fenced=st.booleans()),
+        st.builds(
+            lambda n: pb.HostList(version=n, hosts=[pb.HostEntry(id=f"h{i}") for i in range(n)]),
+            st.integers(0, 300),
+        ),
+    ),
+    max_size=6,
+)
 
 
 @given(MESSAGES, st.lists(st.integers(1, 40), min_size=1), st.booleans())
@@ -22,7 +28,7 @@
     reader, out, at, turn = FrameReader(), [], 0, 0
     while at < len(data):
         size = sizes[turn % len(sizes)]
-        out += reader.feed(data[at:at + size])
+        out += reader.feed(data[at : at + size])
         at, turn = at + size, turn + 1
     reader.finish()
     assert out == messages
@@ -48,11 +54,15 @@
             assert "\n" not in str(error)
 
 
-@pytest.mark.parametrize("data, said", [
-    (frames.HEAD.pack(frames.MOST + 1, 0), "at most"),
-    (frames.HEAD.pack(1, 7) + b"x", "unknown form"),
-    (frames.HEAD.pack(2, 0) + b"\xff\xff", "holds no message"),
-    (frames.HEAD.pack(3, 1) + b"abc", "cannot be unpacked")])
+@pytest.mark.parametrize(
+    "data, said",
+    [
+        (frames.HEAD.pack(frames.MOST + 1, 0), "at most"),
+        (frames.HEAD.pack(1, 7) + b"x", "unknown form"),
+        (frames.HEAD.pack(2, 0) + b"\xff\xff", "holds no message"),
+        (frames.HEAD.pack(3, 1) + b"abc", "cannot be unpacked"),
+    ],
+)
 def test_each_fault_is_named(data, said):
     with pytest.raises(FrameError, match=said):
         list(FrameReader().feed(data))
@@ -106,4 +116,5 @@
         except LinkLost as error:
             assert "\n" not in str(error)
         assert not good_first or got[0].number == 5
+
     anyio.run(play)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -11,24 +11,47 @@
 TESTS = "def test_red():\n    assert False\n\ndef test_other():\n    assert {other}\n\ndef test_green():\n    pass\n"
 
 
-@pytest.mark.parametrize("listed,other,code,said", [
-    (["test_red"], True, 0, "KNOWN-RED, passed over: test_it.py::test_red: a cause, told (issue 30)"),
-    ([], True, 1, "1 failed"),
-    (["test_red"], False, 1, "1 failed"),               # one that is not listed
-    (["test_red", "test_green"], True, 1, "1 failed"),  # listed, and it passes
-    (["test_red", "test_gone"], True, 4, "no test test_it.py::test_gone"),
-    (["test_red"] * 4, True, 4, "4 tests are listed, 3 at most")])
+@pytest.mark.parametrize(
+    "listed,other,code,said",
+    [
+        (["test_red"], True, 0, "KNOWN-RED, passed over: test_it.py::test_red: a cause, told (issue 30)"),
+        ([], True, 1, "1 failed"),
+        (["test_red"], False, 1, "1 failed"),  # one that is not listed
+        (["test_red", "test_green"], True, 1, "1 failed"),  # listed, and it passes
+        (["test_red", "test_gone"], True, 4, "no test test_it.py::test_gone"),
+        (["test_red"] * 4, True, 4, "4 tests are listed, 3 at most"),
+    ],
+)
 def test_only_what_is_listed_and_fails_is_passed_over(tmp_path, listed, other, code, said):
     (tmp_path / "test_it.py").write_text(TESTS.format(other=other))
-    (tmp_path / "KNOWN-RED.txt").write_text("".join(f"test_it.py::{test}, a cause, told, issue 30\n" for test in listed))
+    (tmp_path / "KNOWN-RED.txt").write_text(
+        "".join(f"test_it.py::{test}, a cause, told, issue 30\n" for test in listed)
+    )
     ended = subprocess.run(
-        [sys.executable, "-m", "pytest", "-p", "tests.known_red", "--known-red", "KNOWN-RED.txt", "--rootdir", ".", "-q"],
-        cwd=tmp_path, env=os.environ | {"PYTHONPATH": str(ROOT)}, capture_output=True, text=True, timeout=60)
+        [
+            sys.executable,
+            "-m",
+            "pytest",
+            "-p",
+            "tests.known_red",
+            "--known-red",
+            "KNOWN-RED.txt",
+            "--rootdir",
+            ".",
+            "-q",
+        ],
+        cwd=tmp_path,
+        env=os.environ | {"PYTHONPATH": str(ROOT)},
+        capture_output=True,
+        text=True,
+        timeout=60,
+    )
     assert ended.returncode == code and said in ended.stdout + ended.stderr
 
 
 def test_a_line_that_lacks_its_issue_is_told(tmp_path):
     from tests.known_red import read
+
     (tmp_path / "KNOWN-RED.txt").write_text("tests/test_it.py::test_red, a cause\n")
     with pytest.raises(pytest.UsageError, match=r"KNOWN-RED.txt:1: not `TEST, cause, issue`"):
         read(tmp_path / "KNOWN-RED.txt")
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -28,23 +28,37 @@
 
 pytestmark = pytest.mark.anyio
 LOOP = ("127.0.0.1", 0)
-CLUSTER = CLUSTER.replace("held = 5", """held = 5
+CLUSTER = CLUSTER.replace(
+    "held = 5",
+    """held = 5
   clients = 6
   hello = 0.3
   client_bytes = 4000
   connect = 0.3
   link_silent = 0.4
   watch = 0.4
-""")
-GARBAGE = [random.Random(1).randbytes(64), frames.HEAD.pack(frames.MOST + 1, 0), encode(pb.Probe(number=1))[:-1],
-           encode(pb.Hello(version=1, role=pb.CLIENT, name="x")) * 2, encode(pb.Answer(key="k")), b"\0" * 4096]
+""",
+)
+GARBAGE = [
+    random.Random(1).randbytes(64),
+    frames.HEAD.pack(frames.MOST + 1, 0),
+    encode(pb.Probe(number=1))[:-1],
+    encode(pb.Hello(version=1, role=pb.CLIENT, name="x")) * 2,
+    encode(pb.Answer(key="k")),
+    b"\0" * 4096,
+]
 
 
 class Cluster:
     """One controller over sockets, with stand-ins that a test may replace."""
 
     def __init__(self, tasks, directory):
-        self.tasks, self.directory, self.cluster, self.net = tasks, directory, parse_cluster(CLUSTER), TcpNet()
+        self.tasks, self.directory, self.cluster, self.net = (
+            tasks,
+            directory,
+            parse_cluster(CLUSTER),
+            TcpNet(),
+        )
         self.events: list[dict] = []
 
     async def discover(self):
@@ -52,25 +66,49 @@
         self.watched = await self.tasks.start(self.discovery.run, LOOP)
 
     async def host(self, name, listen=LOOP, **habits):
-        model = HostModel(name, "std", self.cluster, Habits(**{"setup": 0.01, "life": 60.0, **habits}), 1,
-                          random.Random(1), anyio.current_time(), False)
+        model = HostModel(
+            name,
+            "std",
+            self.cluster,
+            Habits(**{"setup": 0.01, "life": 60.0, **habits}),
+            1,
+            random.Random(1),
+            anyio.current_time(),
+            False,
+        )
         server = HostServer(model, self.net, self.watched, "itself", "z", 0)
         await self.tasks.start(server.run, listen)
         return server
 
     def list_host(self, name, address, boot=1):
         """A host that a test plays itself."""
-        self.discovery.heard[name] = (anyio.current_time() + 1e6, pb.HostEntry(
-            id=name, addresses=[f"127.0.0.1:{address[1]}"], kind="std", zone="z", mode=pb.SERVING, boot=boot, age=99 + 1e6,
-            free_cores=10, free_memory=20))
+        self.discovery.heard[name] = (
+            anyio.current_time() + 1e6,
+            pb.HostEntry(
+                id=name,
+                addresses=[f"127.0.0.1:{address[1]}"],
+                kind="std",
+                zone="z",
+                mode=pb.SERVING,
+                boot=boot,
+                age=99 + 1e6,
+                free_cores=10,
+                free_memory=20,
+            ),
+        )
 
     async def controller(self):
         def keep(_, __, event):
             self.events.append(event)
             raise structlog.DropEvent
-        log = structlog.wrap_logger(structlog.PrintLogger(), processors=[structlog.processors.add_log_level, keep])
-        await anyio.sleep(0.6)      # until the list names the hosts
-        self.runtime = Runtime(Setup("c", self.cluster, LOOP, self.watched, 7), Store(self.directory), self.net, log)
+
+        log = structlog.wrap_logger(
+            structlog.PrintLogger(), processors=[structlog.processors.add_log_level, keep]
+        )
+        await anyio.sleep(0.6)  # until the list names the hosts
+        self.runtime = Runtime(
+            Setup("c", self.cluster, LOOP, self.watched, 7), Store(self.directory), self.net, log
+        )
         self.address = await self.tasks.start(self.runtime.run)
         await self.until(lambda: self.runtime.engine.ready)
 
@@ -99,6 +137,7 @@
 
 async def play_host(cluster, name, script, boot=1):
     """A host that is played by `script(link, hello)` on each link."""
+
     async def handle(stream):
         link = Link(stream, FrameReader())
         try:
@@ -109,6 +148,7 @@
             pass
         finally:
             await link.close()
+
     address = await cluster.tasks.start(cluster.net.serve, LOOP, handle)
     cluster.list_host(name, address, boot)
 
@@ -148,10 +188,12 @@
     with anyio.fail_after(2), pytest.raises(anyio.EndOfStream):
         await silent.receive()
     async with anyio.create_task_group() as tasks:
+
         async def stay(*, task_status):
             async with cluster.client():
                 task_status.started()
                 await anyio.sleep(5)
+
         for _ in range(6):
             await tasks.start(stay)
         with pytest.raises(ClientLost, match="too many clients"):
@@ -166,14 +208,18 @@
     await cluster.controller()
     stream = await cluster.net.connect(cluster.address)
     await stream.send(encode(pb.Hello(version=1, role=pb.CLIENT, name="slow")))
-    asks = b"".join(encode(pb.Submit(key=f"{i:0100}", job=pb.JobSpec(offering="nothing"))) for i in range(2000))
+    asks = b"".join(
+        encode(pb.Submit(key=f"{i:0100}", job=pb.JobSpec(offering="nothing"))) for i in range(2000)
+    )
     async with cluster.client() as good, anyio.create_task_group() as tasks:
+
         async def flood():
             try:
                 for _ in range(60):
                     await stream.send(asks)
             except (anyio.BrokenResourceError, anyio.ClosedResourceError):
                 pass
+
         tasks.start_soon(flood)
         await cluster.until(lambda: cluster.said("client let go"))
         assert "unread" in cluster.said("client let go")[0]["reason"]
@@ -185,13 +231,13 @@
 async def test_a_refused_connection_leads_to_another_host_at_once(cluster):
     async with await anyio.create_tcp_listener(local_host="127.0.0.1") as listener:
         address = listener.extra(anyio.abc.SocketAttribute.local_address)
-    cluster.list_host("a", address)     # nothing listens there any more
+    cluster.list_host("a", address)  # nothing listens there any more
     await cluster.controller()
     await cluster.host("b")
     async with cluster.client() as client:
         with anyio.fail_after(3):
             answers = [await client.submit(FEED) for _ in range(4)]
-    assert [answer.host for answer in answers] == ["b"] * 4     # irreversible: known not to have run
+    assert [answer.host for answer in answers] == ["b"] * 4  # irreversible: known not to have run
 
 
 @pytest.mark.parametrize("data", GARBAGE[:3] + [encode(pb.Submit(key="k")), welcome("another")])
@@ -205,6 +251,7 @@
         if b"another" not in data:
             await link.send(welcome("a"))
         await link.send(data)
+
     await play_host(cluster, "a", script)
     await cluster.host("b")
     await cluster.controller()
@@ -229,19 +276,27 @@
     async def script(link, hello):
         links.append(hello.link)
         boot = 1 if held is not None or not offers else 2
-        await link.send(welcome("a", boot, [pb.Held(launch=offers[0].launch, job=offers[0].job, phase=pb.ACCEPTED)]
-                                if held and offers else []))
+        await link.send(
+            welcome(
+                "a",
+                boot,
+                [pb.Held(launch=offers[0].launch, job=offers[0].job, phase=pb.ACCEPTED)]
+                if held and offers
+                else [],
+            )
+        )
         offers.append(await offered(link))
         if len(offers) > 1:
             await link.send(encode(pb.Accepted(launch=offers[-1].launch)))
             await anyio.sleep(9)
+
     await play_host(cluster, "a", script)
     await cluster.controller()
     async with cluster.client() as client:
         with anyio.fail_after(4):
             answer = await client.submit(FEED)
     assert answer.verdict == verdict
-    assert len(offers) == (2 if held is False else 1)       # sent again only where it is proven not to have run
+    assert len(offers) == (2 if held is False else 1)  # sent again only where it is proven not to have run
     assert links == sorted(links) and len(set(links)) == len(links)
 
 
@@ -250,6 +305,7 @@
     async def script(link, hello):
         await link.send(welcome("a"))
         await anyio.sleep(9)
+
     await play_host(cluster, "a", script)
     await cluster.controller()
     async with cluster.client() as client:
@@ -267,6 +323,7 @@
             server.model.fences["c"] = (9, 1)
             await cluster.controller()
             await anyio.sleep(5)
+
     with anyio.fail_after(5), pytest.raises(BaseExceptionGroup) as caught:
         await life()
     assert isinstance(unwrap(caught.value), Halted) and "life 9" in str(unwrap(caught.value))
@@ -292,9 +349,10 @@
         broken.append(1)
         await link.send(GARBAGE[0])
         await anyio.sleep(1)
+
     cluster.discovery.watched = garbage.__get__(cluster.discovery)
     cluster.discovery.control({"lose": True})
-    await cluster.until(lambda: len(broken) >= 2)       # asked again after each failure
+    await cluster.until(lambda: len(broken) >= 2)  # asked again after each failure
     async with cluster.client() as client:
         assert (await client.submit(ASK)).host == server.model.name
 
@@ -303,11 +361,11 @@
     server = await cluster.host("a")
     await cluster.controller()
     for watcher in cluster.discovery.watchers:
-        watcher.sent = 1 << 40                      # this one is sent nothing for now
+        watcher.sent = 1 << 40  # this one is sent nothing for now
     server.control({"drain": True})
     await cluster.until(lambda: cluster.discovery.hosts["a"].mode == pb.DRAINING)
     for watcher in cluster.discovery.watchers:
-        watcher.sent = cluster.discovery.version    # ... and never what it missed
+        watcher.sent = cluster.discovery.version  # ... and never what it missed
     await cluster.host("b")
     await cluster.until(lambda: "b" in cluster.runtime.links)
     assert cluster.runtime.engine.module.hosts["a"].entry.mode is api.Mode.DRAINING
@@ -322,6 +380,7 @@
 
             async def ask():
                 answers.append(await client.submit(ASK))
+
             tasks.start_soon(ask)
             await cluster.until(lambda: cluster.runtime.engine.taken)
             cluster.runtime.leave()
@@ -335,8 +394,9 @@
     server = await cluster.host("a")
     await cluster.controller()
     server.control({"drain": True})
-    await cluster.until(lambda: any(h.entry.mode.name == "DRAINING"
-                                    for h in cluster.runtime.engine.module.hosts.values()))
+    await cluster.until(
+        lambda: any(h.entry.mode.name == "DRAINING" for h in cluster.runtime.engine.module.hosts.values())
+    )
     async with cluster.client() as client, anyio.create_task_group() as tasks:
         for _ in range(5):
             tasks.start_soon(client.submit, ASK)
@@ -354,7 +414,7 @@
         address = listener.extra(anyio.abc.SocketAttribute.local_address)
     cluster.list_host("a", address)
     await cluster.controller()
-    await anyio.sleep(1.2)      # its link has been refused
+    await anyio.sleep(1.2)  # its link has been refused
 
     async def handle(stream):
         link = Link(stream, FrameReader())
@@ -365,6 +425,7 @@
                 offers.append(await offered(link))
         except LinkLost:
             pass
+
     await cluster.tasks.start(cluster.net.serve, address, handle)
     async with cluster.client() as client, anyio.create_task_group() as tasks:
         for _ in range(5):
@@ -372,7 +433,7 @@
         await cluster.until(lambda: cluster.runtime.links["a"].up)
         await anyio.sleep(0.3)
         tasks.cancel_scope.cancel()
-    assert not offers       # a controller that has just started sends a young host nothing yet
+    assert not offers  # a controller that has just started sends a young host nothing yet
 
 
 async def test_what_waits_for_a_host_that_drains_goes_back():
@@ -392,6 +453,7 @@
         await link.send(welcome("another"))
         await offered(link)
         raise AssertionError("sent to the wrong host")
+
     await play_host(cluster, "a", script)
     await cluster.controller()
     async with cluster.client() as client:
@@ -404,8 +466,10 @@
     server = await cluster.host("a", look=0.3)
     await cluster.controller()
     stream = await cluster.net.connect(cluster.address)
-    await stream.send(encode(pb.Hello(version=1, role=pb.CLIENT, name="x")) + encode(
-        pb.Submit(key="k", job=pb.JobSpec(offering="feed", service="s", cores=1, memory=1))))
+    await stream.send(
+        encode(pb.Hello(version=1, role=pb.CLIENT, name="x"))
+        + encode(pb.Submit(key="k", job=pb.JobSpec(offering="feed", service="s", cores=1, memory=1)))
+    )
     await cluster.until(lambda: server.model.queue)
     await anyio.aclose_forcefully(stream)
     await cluster.until(lambda: not cluster.runtime.engine.taken and not server.model.copies)
@@ -423,13 +487,14 @@
         async with Owner.open(cluster.net, Contact((cluster.address,), "school")) as owner:
             await owner.submit(ask, key)
             answers.extend(await owner.until([key], lambda standing: standing.answered))
+
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(owner, "reader-1")
         await cluster.until(lambda: server.model.copies if when == "before the yes" else answers)
-        first.tasks.cancel_scope.cancel()       # as a kill: nothing is answered or written any more
+        first.tasks.cancel_scope.cancel()  # as a kill: nothing is answered or written any more
         first.store.close()
         await anyio.sleep(0.5)
-        cluster.address = (await restart(cluster, cluster.address))
+        cluster.address = await restart(cluster, cluster.address)
     await owner("reader-2")
     assert len(answers) == 2 and {standing.stage for standing in answers} <= {"placed", "running"}
     assert len(server.model.copies) == 2 and cluster.runtime.life == first.life + 1
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -33,10 +33,10 @@
     def __init__(self):
         self.boot, self.link, self.up = 1, 0, False
         self.life = 0
-        self.held: dict[on.LaunchId, list] = {}       # job, phase
-        self.queue: list[on.LaunchId] = []            # received and not looked at
+        self.held: dict[on.LaunchId, list] = {}  # job, phase
+        self.queue: list[on.LaunchId] = []  # received and not looked at
         self.stops: list[on.LaunchId] = []
-        self.outbox: list[tuple] = []                 # at the controller, until a link stands
+        self.outbox: list[tuple] = []  # at the controller, until a link stands
 
 
 class Controller(RuleBasedStateMachine):
@@ -46,10 +46,10 @@
         self.cluster = parse_cluster(CLUSTER.replace("held = 5", "held = 50"))
         self.now, self.engine, self.crash_in = 100.0, None, None
         self.hosts = {name: Host() for name in HOSTS}
-        self.keys: dict[str, tuple] = {}            # offering, asked as
-        self.jobs: dict[str, str] = {}              # job: key
-        self.told: dict[str, set[str]] = {}         # key: verdicts
-        self.runs: dict[str, list] = {}             # job: (when, host) of each launch that reached a host's program
+        self.keys: dict[str, tuple] = {}  # offering, asked as
+        self.jobs: dict[str, str] = {}  # job: key
+        self.told: dict[str, set[str]] = {}  # key: verdicts
+        self.runs: dict[str, list] = {}  # job: (when, host) of each launch that reached a host's program
         self.sent_after: list = []
         self.links = 0
 
@@ -68,9 +68,19 @@
         self.engine.recover(found.open, found.answers)
         for host in self.hosts.values():
             host.up = False
-        self.feed(on.ListHeard(tuple(
-            on.ListedHost(name, ("x",), "std", HOSTS[name], 0, api.Mode.SERVING, host.boot, 99.0, 10.0, 20.0)
-            for name, host in self.hosts.items()), True, 1), on.StandingAsked(1, "s", ""))
+        self.feed(
+            on.ListHeard(
+                tuple(
+                    on.ListedHost(
+                        name, ("x",), "std", HOSTS[name], 0, api.Mode.SERVING, host.boot, 99.0, 10.0, 20.0
+                    )
+                    for name, host in self.hosts.items()
+                ),
+                True,
+                1,
+            ),
+            on.StandingAsked(1, "s", ""),
+        )
 
     def feed(self, *events):
         """One turn; False if the controller was killed in it."""
@@ -161,10 +171,17 @@
 
     # -- hosts
 
-    @rule(name=st.sampled_from(sorted(HOSTS)), what=st.sampled_from(["link", "unlink", "lose", "reborn", "end"]))
+    @rule(
+        name=st.sampled_from(sorted(HOSTS)), what=st.sampled_from(["link", "unlink", "lose", "reborn", "end"])
+    )
     def trouble(self, name, what):
-        {"link": self.link, "unlink": lambda name: self.unlink(name, False), "end": self.end,
-         "lose": lambda name: self.unlink(name, True), "reborn": self.reborn}[what](name)
+        {
+            "link": self.link,
+            "unlink": lambda name: self.unlink(name, False),
+            "end": self.end,
+            "lose": lambda name: self.unlink(name, True),
+            "reborn": self.reborn,
+        }[what](name)
 
     def link(self, name):
         host = self.hosts[name]
@@ -172,13 +189,15 @@
             return
         self.links += 1
         host.link, host.up = self.links, True
-        if self.life > host.life:       # nothing of an earlier life is looked at any more
+        if self.life > host.life:  # nothing of an earlier life is looked at any more
             for launch in host.queue:
                 host.held.pop(launch, None)
             host.queue.clear()
             host.life = self.life
-        account = tuple(on.Held(launch, job, phase, *((api.Result.DONE,) if phase is on.Phase.OVER else ()))
-                        for launch, (job, phase) in host.held.items())
+        account = tuple(
+            on.Held(launch, job, phase, *((api.Result.DONE,) if phase is on.Phase.OVER else ()))
+            for launch, (job, phase) in host.held.items()
+        )
         if self.feed(on.LinkUp(name, host.link, host.boot, 99.0, account)) and host.up:
             self.flush(name)
             self.feed()
@@ -188,7 +207,7 @@
         if host.up:
             host.up = False
             assert not host.outbox
-            if lose:        # what was on its way never came
+            if lose:  # what was on its way never came
                 for launch in host.queue:
                     host.held.pop(launch, None)
                 host.queue.clear()
@@ -211,7 +230,7 @@
             for name in sorted(HOSTS):
                 if self.hosts[name].queue:
                     self.look_at(name, self.hosts[name], word)
-        for host in self.hosts.values():        # a stop may come too late for what it was to stop
+        for host in self.hosts.values():  # a stop may come too late for what it was to stop
             for launch in host.stops:
                 host.held.pop(launch, None)
             host.stops.clear()
@@ -235,7 +254,9 @@
             if phase is on.Phase.ACCEPTED:
                 host.held[launch][1] = on.Phase.OVER
                 if host.up:
-                    self.feed(on.Over(name, launch, api.Result.DONE, api.Why.UNTOLD, on.Ran(0, 1.0, 1.0, 1.0)))
+                    self.feed(
+                        on.Over(name, launch, api.Result.DONE, api.Why.UNTOLD, on.Ran(0, 1.0, 1.0, 1.0))
+                    )
                 return
 
     # -- time and crashes
@@ -259,7 +280,10 @@
             self.crash_in = steps
 
     @precondition(lambda self: self.engine is None)
-    @rule(linked=st.sets(st.sampled_from(sorted(HOSTS))), reborn=st.sets(st.sampled_from(sorted(HOSTS)), max_size=2))
+    @rule(
+        linked=st.sets(st.sampled_from(sorted(HOSTS))),
+        reborn=st.sets(st.sampled_from(sorted(HOSTS)), max_size=2),
+    )
     def restart(self, linked, reborn):
         for name in sorted(reborn):
             self.reborn(name)
@@ -310,8 +334,11 @@
                 self.link(name)
             for _ in range(4):
                 self.wait(3.0)
-            held = {key for key, entry in self.engine.sessions.ledger.by_session.get("s", {}).items()
-                    if entry.stage.name == "HELD"}
+            held = {
+                key
+                for key, entry in self.engine.sessions.ledger.by_session.get("s", {}).items()
+                if entry.stage.name == "HELD"
+            }
             for key in self.jobs.values():
                 assert key in held or len(self.told.get(key, ())) == 1, (key, self.told.get(key))
             self.no_effect_twice()
@@ -322,5 +349,12 @@
 
 
 TestController = Controller.TestCase
-TestController.settings = settings(max_examples=RUNS, stateful_step_count=40, phases=[Phase.generate], deadline=None, derandomize=RUNS <= 150,
-                                   database=None, suppress_health_check=list(HealthCheck))
+TestController.settings = settings(
+    max_examples=RUNS,
+    stateful_step_count=40,
+    phases=[Phase.generate],
+    deadline=None,
+    derandomize=RUNS <= 150,
+    database=None,
+    suppress_health_check=list(HealthCheck),
+)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -11,8 +11,12 @@
 
 
 def test_a_lost_zones_launches_are_chosen_for_over_many_turns_not_in_one():
-    settings = replace(SETTINGS, offerings={"web": replace(OFFERING, name="web", expiry=6.0)}, controllers=16,
-                       kinds={"std": api.Kind(16.0, 64.0)})
+    settings = replace(
+        SETTINGS,
+        offerings={"web": replace(OFFERING, name="web", expiry=6.0)},
+        controllers=16,
+        kinds={"std": api.Kind(16.0, 64.0)},
+    )
     module, chosen, launched, timers = Controller(settings, 1, 0.0), [], [], []
 
     def act(actions):
@@ -20,17 +24,23 @@
         timers.extend(one for one in actions if type(one) is api.Timer and one.delay == 0.0)
 
     act(module.begin())
-    entries = tuple(api.HostEntry(f"h{n}", "std", "abc"[n % 3], n // 8, Mode.SERVING, -1000.0, None, None)
-                    for n in range(HOSTS))
+    entries = tuple(
+        api.HostEntry(f"h{n}", "std", "abc"[n % 3], n // 8, Mode.SERVING, -1000.0, None, None)
+        for n in range(HOSTS)
+    )
     act(module.handle(0.0, api.HostsListed(entries, True)))
-    for number in range(JOBS):      # a turn each: calm
-        act(module.handle(0.1, api.JobArrived(api.Job(f"j{number}", "web", "", f"s{number % 9}", 0.1, 0.1, 6.0))))
+    for number in range(JOBS):  # a turn each: calm
+        act(
+            module.handle(
+                0.1, api.JobArrived(api.Job(f"j{number}", "web", "", f"s{number % 9}", 0.1, 0.1, 6.0))
+            )
+        )
         act(module.settle(0.1))
     assert len(launched) == JOBS
     true = module.choose
     module.choose = lambda track: chosen.append(track) or true(track)
     first, launched[:] = list(launched), []
-    for one in first:               # all in one turn: the connections of their hosts broke
+    for one in first:  # all in one turn: the connections of their hosts broke
         act(module.handle(0.2, api.Ended(one.job, 1, one.host, Result.UNREACHABLE, Why.UNTOLD, False)))
     act(module.settle(0.2))
     bound = LOOKS // HOSTS
@@ -46,12 +56,25 @@
 
 def test_jobs_that_come_by_the_hundred_ask_hosts_no_oftener_than_choices_are_made():
     # who is asked next is found by looking at all hosts: for each of hundreds of jobs it made a turn long, and all answers late
-    settings = replace(SETTINGS, offerings={"web": replace(OFFERING, name="web", expiry=6.0)}, controllers=16,
-                       kinds={"std": api.Kind(16.0, 64.0)}, may_probe=True)
+    settings = replace(
+        SETTINGS,
+        offerings={"web": replace(OFFERING, name="web", expiry=6.0)},
+        controllers=16,
+        kinds={"std": api.Kind(16.0, 64.0)},
+        may_probe=True,
+    )
     module = Controller(settings, 1, 0.0)
     module.begin()
-    module.handle(0.0, api.HostsListed(tuple(
-        api.HostEntry(f"h{n}", "std", "a", n // 8, Mode.SERVING, -1000.0, None, None) for n in range(HOSTS)), True))
+    module.handle(
+        0.0,
+        api.HostsListed(
+            tuple(
+                api.HostEntry(f"h{n}", "std", "a", n // 8, Mode.SERVING, -1000.0, None, None)
+                for n in range(HOSTS)
+            ),
+            True,
+        ),
+    )
     module.settle(0.0)
     for turn in range(1, 6):
         asked = 0
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -31,29 +31,35 @@
 
 # what an order does
 
-@pytest.mark.parametrize("kind, stage, out, ran, effect, move", [
-    ("END", "WAITING", False, False, "IRREVERSIBLE", Move.REJECT),
-    ("END", "WAITING", True, False, "IRREVERSIBLE", Move.WRITE_OFF),
-    ("END", "WAITING", True, False, "LABELLED", Move.WRITE_OFF),
-    ("END", "WAITING", True, True, "REDOABLE", Move.REJECT),
-    ("END", "WAITING", False, True, "LABELLED", Move.WRITE_OFF),
-    ("END", "HELD", False, False, "IRREVERSIBLE", Move.REJECT),
-    ("END", "PLACED", True, False, "IRREVERSIBLE", Move.STOP),
-    ("END", "RUNNING", True, False, "REDOABLE", Move.STOP),
-    ("END", "DONE", False, False, "REDOABLE", Move.REFUSE),
-    ("HOLD", "WAITING", False, False, "IRREVERSIBLE", Move.HOLD),
-    ("HOLD", "LATER", False, False, "IRREVERSIBLE", Move.HOLD),
-    ("HOLD", "WAITING", True, False, "REDOABLE", Move.REFUSE),
-    ("HOLD", "WAITING", False, True, "LABELLED", Move.REFUSE),
-    ("HOLD", "WAITING", False, True, "REDOABLE", Move.HOLD),
-    ("HOLD", "HELD", False, False, "REDOABLE", Move.NOTHING),
-    ("HOLD", "RUNNING", True, False, "REDOABLE", Move.REFUSE),
-    ("RELEASE", "HELD", False, False, "REDOABLE", Move.RELEASE),
-    ("RELEASE", "WAITING", False, False, "REDOABLE", Move.REFUSE),
-    ("RELEASE", "REJECTED", False, False, "REDOABLE", Move.REFUSE),
-])
+
+@pytest.mark.parametrize(
+    "kind, stage, out, ran, effect, move",
+    [
+        ("END", "WAITING", False, False, "IRREVERSIBLE", Move.REJECT),
+        ("END", "WAITING", True, False, "IRREVERSIBLE", Move.WRITE_OFF),
+        ("END", "WAITING", True, False, "LABELLED", Move.WRITE_OFF),
+        ("END", "WAITING", True, True, "REDOABLE", Move.REJECT),
+        ("END", "WAITING", False, True, "LABELLED", Move.WRITE_OFF),
+        ("END", "HELD", False, False, "IRREVERSIBLE", Move.REJECT),
+        ("END", "PLACED", True, False, "IRREVERSIBLE", Move.STOP),
+        ("END", "RUNNING", True, False, "REDOABLE", Move.STOP),
+        ("END", "DONE", False, False, "REDOABLE", Move.REFUSE),
+        ("HOLD", "WAITING", False, False, "IRREVERSIBLE", Move.HOLD),
+        ("HOLD", "LATER", False, False, "IRREVERSIBLE", Move.HOLD),
+        ("HOLD", "WAITING", True, False, "REDOABLE", Move.REFUSE),
+        ("HOLD", "WAITING", False, True, "LABELLED", Move.REFUSE),
+        ("HOLD", "WAITING", False, True, "REDOABLE", Move.HOLD),
+        ("HOLD", "HELD", False, False, "REDOABLE", Move.NOTHING),
+        ("HOLD", "RUNNING", True, False, "REDOABLE", Move.REFUSE),
+        ("RELEASE", "HELD", False, False, "REDOABLE", Move.RELEASE),
+        ("RELEASE", "WAITING", False, False, "REDOABLE", Move.REFUSE),
+        ("RELEASE", "REJECTED", False, False, "REDOABLE", Move.REFUSE),
+    ],
+)
 def test_what_an_order_does(kind, stage, out, ran, effect, move):
-    assert rule(OrderKind[kind], Entry("s", "k", JOB, stage=Stage[stage]), out, ran, Effect[effect]).move is move
+    assert (
+        rule(OrderKind[kind], Entry("s", "k", JOB, stage=Stage[stage]), out, ran, Effect[effect]).move is move
+    )
 
 
 def ask(d, now, offering="web", key="k", client=1, **rest):
@@ -75,7 +81,7 @@
 def test_a_held_job_is_not_launched_and_its_time_stands_still():
     d = Drive()
     assert not d.only(do.SendLaunch, ask(d, 1.0, hold=True))
-    assert not d.only(do.Answer, d.rest(100.0))         # its six seconds do not pass
+    assert not d.only(do.Answer, d.rest(100.0))  # its six seconds do not pass
     effects = order(d, 100.0, "RELEASE")
     sent = d.only(do.SendLaunch, effects)[0]
     assert sent.job.expiry == 106.0 and stages(d, effects) == ["WAITING"]
@@ -114,14 +120,16 @@
     held = d.engine.sessions.ledger.entries["s", f"k{number}"].job.id
     assert held not in [launch.job.id for launch in d.only(do.SendLaunch, d.turn(1.4, ended) + d.rest(20.0))]
     # the four seconds and more that it had left begin again with its release
-    assert d.only(do.SendLaunch, order(d, 50.0, "RELEASE", f"k{number}"))[0].job.expiry == pytest.approx(50.0 + 5.9)
+    assert d.only(do.SendLaunch, order(d, 50.0, "RELEASE", f"k{number}"))[0].job.expiry == pytest.approx(
+        50.0 + 5.9
+    )
 
 
 def test_a_second_hold_lasts_as_long_as_the_first():
     # guards against the first hold's timer, which still rings
     d = Drive()
     most = d.engine.cluster.limits.hold
-    d.list("ab", 0.5, mode=api.Mode.DRAINING)       # so that it is not launched in between
+    d.list("ab", 0.5, mode=api.Mode.DRAINING)  # so that it is not launched in between
     ask(d, 1.0, hold=True)
     order(d, 0.5 * most, "RELEASE")
     order(d, 0.5 * most, "HOLD")
@@ -138,7 +146,9 @@
     assert fault(d, order(d, 1.1, "HOLD")) is Fault.WRONG_STATE
 
 
-@pytest.mark.parametrize("offering, verdict", [("web", "rejected"), ("mail", "written off"), ("feed", "written off")])
+@pytest.mark.parametrize(
+    "offering, verdict", [("web", "rejected"), ("mail", "written off"), ("feed", "written off")]
+)
 def test_ending_a_job_whose_launch_has_no_answer_is_answered_at_once(offering, verdict):
     d = Drive()
     sent = d.only(do.SendLaunch, ask(d, 1.0, offering))[0]
@@ -146,7 +156,9 @@
     effects = order(d, 1.1, "END")
     assert d.verdicts(effects) == [verdict] and d.only(do.SendStop, effects)
     late = d.turn(1.2, on.Accepted(sent.host, on.LaunchId(3, sent.number)))
-    assert d.only(do.SendStop, late) and not d.only(do.Answer, late)    # what comes after is stopped, and no answer
+    assert d.only(do.SendStop, late) and not d.only(
+        do.Answer, late
+    )  # what comes after is stopped, and no answer
     assert not d.only(do.SendLaunch, d.rest(20.0))
 
 
@@ -162,7 +174,9 @@
     assert stages(d, effects) == ["ERROR"] and d.only(do.Standing, effects)[0].ran == ran
     keep = effects.index(do.KeepCourse(sent.job.id, "ERROR", "memory ran out", ran, over=True))
     assert keep < len(effects)
-    assert not d.only(do.KeepNoMore, d.turn(3.3, on.AnswerSeen("s", "k")))      # it is followed: kept until forgotten
+    assert not d.only(
+        do.KeepNoMore, d.turn(3.3, on.AnswerSeen("s", "k"))
+    )  # it is followed: kept until forgotten
     assert d.only(do.KeepNoMore, d.turn(3.4, on.Forgotten("s", "k")))
     assert fault(d, d.turn(3.5, on.StandingAsked(1, "s", "k"))) is Fault.NO_SUCH_JOB
 
@@ -183,8 +197,12 @@
     d.turn(1.1, on.Accepted(sent.host, launch))
     d.down(sent.host, 1.2)
     assert fault(d, order(d, 1.3, "END")) is Fault.NONE
-    up = d.up(sent.host, d.engine.fleet.hosts[sent.host].listed.boot, 2.0,
-              held=(on.Held(launch, sent.job, on.Phase.RUNNING),))
+    up = d.up(
+        sent.host,
+        d.engine.fleet.hosts[sent.host].listed.boot,
+        2.0,
+        held=(on.Held(launch, sent.job, on.Phase.RUNNING),),
+    )
     assert do.SendStop(sent.host, launch) in up
 
 
@@ -204,7 +222,9 @@
 
 
 def placed(stage="RUNNING", host="a", **rest):
-    return KeptAnswer("s", "k", JOB, stage, host, on.LaunchId(1, 4), follow=True, taken_ago=5.0, placed_ago=4.0, **rest)
+    return KeptAnswer(
+        "s", "k", JOB, stage, host, on.LaunchId(1, 4), follow=True, taken_ago=5.0, placed_ago=4.0, **rest
+    )
 
 
 def test_after_a_restart_a_placed_job_is_found_or_told_as_lost():
@@ -230,19 +250,26 @@
 
 def test_an_end_ordered_in_an_earlier_life_is_carried_out():
     d = recovered(placed(ending=True))
-    effects = d.up(next(iter(d.engine.fleet.hosts)), 1, 0.2,
-                   held=(on.Held(on.LaunchId(1, 4), JOB, on.Phase.RUNNING),))
+    effects = d.up(
+        next(iter(d.engine.fleet.hosts)), 1, 0.2, held=(on.Held(on.LaunchId(1, 4), JOB, on.Phase.RUNNING),)
+    )
     assert any(stop.launch == on.LaunchId(1, 4) for stop in d.only(do.SendStop, effects))
 
 
 def test_a_labelled_job_goes_on_in_its_group_and_window_after_a_restart():
     host = next(iter(Drive().engine.fleet.hosts))
     mail = replace(JOB, offering="mail")
-    for ago, other_zone, goes_on in ((1.0, False, True), (3.9, False, False), (1.0, True, False),
-                                     (float("inf"), False, False)):
+    for ago, other_zone, goes_on in (
+        (1.0, False, True),
+        (3.9, False, False),
+        (1.0, True, False),
+        (float("inf"), False, False),
+    ):
         d = Drive()
-        d.engine.recover((OpenJob("s", "k", mail, 5.0, (OldLaunch(on.LaunchId(1, 4), host, 1, False, ago),)),), ())
-        if other_zone:      # only hosts of another group are left
+        d.engine.recover(
+            (OpenJob("s", "k", mail, 5.0, (OldLaunch(on.LaunchId(1, 4), host, 1, False, ago),)),), ()
+        )
+        if other_zone:  # only hosts of another group are left
             d.list([name for name in d.engine.fleet.hosts if name != host], 0.1, zone="far")
             d.engine.fleet.hosts[host] = d.engine.fleet.hosts.get(host) or None
             d.engine.fleet.hosts.pop(host)
@@ -251,7 +278,9 @@
 
 
 def test_a_hold_lasts_over_a_restart_and_not_for_ever():
-    d = recovered(open_jobs=[OpenJob("s", "k", replace(JOB, expiry=float("inf")), 4.0, held=True, follow=True)])
+    d = recovered(
+        open_jobs=[OpenJob("s", "k", replace(JOB, expiry=float("inf")), 4.0, held=True, follow=True)]
+    )
     assert not d.only(do.SendLaunch, d.rest(50.0))
     d.turn(50.0, on.StandingAsked(1, "s", ""))
     assert d.only(do.SendLaunch, order(d, 50.0, "RELEASE"))[0].job.expiry == 54.0
@@ -263,9 +292,13 @@
 
 # who may
 
+
 def test_only_the_owner_of_a_key_is_let_in():
     keys = Keys({"school": hash_of("secret")})
-    assert keys_of_customers.admit(keys, "school", "secret") == "school" and keys_of_customers.admit(keys, "", "") == ""
+    assert (
+        keys_of_customers.admit(keys, "school", "secret") == "school"
+        and keys_of_customers.admit(keys, "", "") == ""
+    )
     for customer, token in (("school", "wrong"), ("school", ""), ("shop", "secret"), ("", "secret")):
         with pytest.raises(keys_of_customers.NotAdmitted):
             keys_of_customers.admit(keys, customer, token)
@@ -277,17 +310,23 @@
 def test_keys_are_compared_in_constant_time(monkeypatch):
     # guards against a comparison that ends at the first difference, which tells how much of a key is right
     compared = []
-    monkeypatch.setattr(keys_of_customers.hmac, "compare_digest", lambda a, b: compared.append((a, b)) or a == b)
+    monkeypatch.setattr(
+        keys_of_customers.hmac, "compare_digest", lambda a, b: compared.append((a, b)) or a == b
+    )
     keys_of_customers.admit(Keys({"school": hash_of("x")}), "school", "x")
     with pytest.raises(keys_of_customers.NotAdmitted):
         keys_of_customers.admit(Keys({"school": hash_of("x")}), "nobody", "x")
-    assert len(compared) == 2       # an unknown customer costs the same
+    assert len(compared) == 2  # an unknown customer costs the same
 
 
-@pytest.mark.parametrize("text, said", [
-    ('customer "a" {\n key = "secret"\n}', "cluster.hcl: customer a: key is no hash"),
-    ('customer "a" {\n}', "customer a: cores or key is missing"),
-    ('clients {\n keys_needed = true\n}', "clients: keys_needed, and no customer has a key")])
+@pytest.mark.parametrize(
+    "text, said",
+    [
+        ('customer "a" {\n key = "secret"\n}', "cluster.hcl: customer a: key is no hash"),
+        ('customer "a" {\n}', "customer a: cores or key is missing"),
+        ("clients {\n keys_needed = true\n}", "clients: keys_needed, and no customer has a key"),
+    ],
+)
 def test_faulty_keys_are_named(text, said):
     with pytest.raises(ConfigFault, match=said):
         parse_cluster(CLUSTER + text)
@@ -295,19 +334,37 @@
 
 # the client's rules
 
-@pytest.mark.parametrize("state, sent, redoable, safe, away, another, step", [
-    ("ASKED", False, False, False, 0.0, True, Next.MOVE), ("ASKED", True, False, False, 99.0, True, Next.WAIT),
-    ("ASKED", True, True, False, 99.0, True, Next.MOVE), ("ASKED", True, True, False, 0.1, True, Next.WAIT),
-    ("TAKEN", True, True, False, 99.0, True, Next.MOVE), ("TAKEN", True, False, False, 99.0, True, Next.WAIT),
-    ("TAKEN", True, False, True, 0.0, True, Next.MOVE), ("TAKEN", True, True, False, 99.0, False, Next.WAIT),
-    ("ANSWERED", True, True, True, 99.0, True, Next.WAIT), ("OVER", True, True, False, 99.0, True, Next.WAIT)])
+
+@pytest.mark.parametrize(
+    "state, sent, redoable, safe, away, another, step",
+    [
+        ("ASKED", False, False, False, 0.0, True, Next.MOVE),
+        ("ASKED", True, False, False, 99.0, True, Next.WAIT),
+        ("ASKED", True, True, False, 99.0, True, Next.MOVE),
+        ("ASKED", True, True, False, 0.1, True, Next.WAIT),
+        ("TAKEN", True, True, False, 99.0, True, Next.MOVE),
+        ("TAKEN", True, False, False, 99.0, True, Next.WAIT),
+        ("TAKEN", True, False, True, 0.0, True, Next.MOVE),
+        ("TAKEN", True, True, False, 99.0, False, Next.WAIT),
+        ("ANSWERED", True, True, True, 99.0, True, Next.WAIT),
+        ("OVER", True, True, False, 99.0, True, Next.WAIT),
+    ],
+)
 def test_what_a_client_does_when_its_controller_is_away(state, sent, redoable, safe, away, another, step):
     assert home_away(View(State[state], sent, redoable, safe), away, 2.0, another) is step
 
 
-@pytest.mark.parametrize("state, redoable, listed, step", [
-    ("ASKED", False, False, Next.ASK), ("ASKED", False, True, Next.WAIT), ("TAKEN", False, False, Next.UNKNOWN),
-    ("TAKEN", True, False, Next.ASK), ("ANSWERED", True, False, Next.UNKNOWN), ("OVER", False, False, Next.WAIT)])
+@pytest.mark.parametrize(
+    "state, redoable, listed, step",
+    [
+        ("ASKED", False, False, Next.ASK),
+        ("ASKED", False, True, Next.WAIT),
+        ("TAKEN", False, False, Next.UNKNOWN),
+        ("TAKEN", True, False, Next.ASK),
+        ("ANSWERED", True, False, Next.UNKNOWN),
+        ("OVER", False, False, Next.WAIT),
+    ],
+)
 def test_what_a_client_does_when_its_controller_is_back(state, redoable, listed, step):
     assert home_back(View(State[state], True, redoable), listed) is step
 
@@ -370,6 +427,7 @@
                 await owner.find("nothing", 0.1)
             with pytest.raises(OrderRefused):
                 await owner.order(held, HOLD)
+
     in_memory(tmp_path, work)
 
 
@@ -393,8 +451,15 @@
             assert (await one.until_over("k")).job == (await other.until_over("k")).job
             with pytest.raises(TurnedAway, match="names another job"):
                 await other.submit(WEB, "k")
-        assert sum(len(host.model.over) + len(host.model.copies) for name, host in ground.servers.items()
-                   if name.startswith("h")) <= 1
+        assert (
+            sum(
+                len(host.model.over) + len(host.model.copies)
+                for name, host in ground.servers.items()
+                if name.startswith("h")
+            )
+            <= 1
+        )
+
     in_memory(tmp_path, work)
 
 
@@ -418,6 +483,7 @@
             await anyio.sleep(3.0)
         engine = ground.servers[home].engine
         assert not any(entry.key == web for entry in engine.sessions.ledger.entries.values())
+
     in_memory(tmp_path, work)
 
 
@@ -431,7 +497,11 @@
             assert ended.stage == "stopped" and ended.ran.status is None and ended.ending
             late = await owner.submit(WEB, start_in=60.0)
             await owner.order(late, END)
-            assert owner.standing(late).stage == "rejected" and owner.standing(late).reason == "ended by its owner"
+            assert (
+                owner.standing(late).stage == "rejected"
+                and owner.standing(late).reason == "ended by its owner"
+            )
+
     in_memory(tmp_path, work, habits="setup=0.1 life=50")
 
 
@@ -465,8 +535,12 @@
             found = await owner.until(keys, lambda standing: standing.answered, every=True)
             for name in ("h01", "h02", "h03"):
                 await ground.order(name, {"mute": False})
-        copies = [copy.job.id for name, host in ground.servers.items() if name.startswith("h")
-                  for copy in (*host.model.copies.values(), *host.model.over.values())]
+        copies = [
+            copy.job.id
+            for name, host in ground.servers.items()
+            if name.startswith("h")
+            for copy in (*host.model.copies.values(), *host.model.over.values())
+        ]
         assert len(copies) == len(set(copies))
         return {standing.stage for standing in found}
 
@@ -477,6 +551,7 @@
     async def work(ground):
         random, asked = Random(3), {}
         async with Owner.open(ground.net, C1) as owner:
+
             async def load():
                 for number in range(400):
                     ask = (WEB, MAIL, FEED)[number % 3]
@@ -512,8 +587,9 @@
 def test_a_bulk_of_ten_thousand_is_taken_once_each(tmp_path):
     async def work(ground):
         async with Owner.open(ground.net, C1) as owner:
-            keys = await owner.submit_many([(WEB, f"b.{index}", pb.Work(index=index)) for index in range(10_000)],
-                                           hold=True)
+            keys = await owner.submit_many(
+                [(WEB, f"b.{index}", pb.Work(index=index)) for index in range(10_000)], hold=True
+            )
             assert len(owner.keys()) == 10_000 and owner.standing(keys[-1]).stage == "held"
         async with Owner.open(ground.net, C1) as again:
             assert sorted(again.keys()) == sorted(keys)
@@ -564,7 +640,9 @@
             for key in taken:
                 await owner.forget(key)
             await anyio.sleep(3.0)
-            assert (await owner.until_over(await owner.submit(FEED, work=big))).stage == "done"     # it has room again
+            assert (
+                await owner.until_over(await owner.submit(FEED, work=big))
+            ).stage == "done"  # it has room again
 
     in_memory(tmp_path, work, cluster=PAIR + "\njournal {\n most = 1100000\n}\n")
 
@@ -576,7 +654,7 @@
             key = await mine.submit(replace(FEED, customer="school"), hold=True)
             with pytest.raises(TurnedAway, match="submits for customer 'school' only"):
                 await mine.submit(replace(FEED, customer="shop"))
-            async with Owner.open(ground.net, shop, "two") as other:     # the same session name, another owner
+            async with Owner.open(ground.net, shop, "two") as other:  # the same session name, another owner
                 with pytest.raises(NoSuchJob):
                     await other.find(key, 0.1)
         for contact, token in ((school, "two"), (C1, "")):
@@ -584,19 +662,29 @@
                 async with Owner.open(ground.net, contact, token, within=1.0):
                     pass
 
-    cluster = PAIR + "".join(f'customer "{name}" {{\n key = "{hash_of(token)}"\n}}\n'
-                             for name, token in (("school", "one"), ("shop", "two"))) + "clients {\n keys_needed = true\n}\n"
+    cluster = (
+        PAIR
+        + "".join(
+            f'customer "{name}" {{\n key = "{hash_of(token)}"\n}}\n'
+            for name, token in (("school", "one"), ("shop", "two"))
+        )
+        + "clients {\n keys_needed = true\n}\n"
+    )
     in_memory(tmp_path, work, cluster=cluster)
 
 
 def test_thousands_of_jobs_go_back_to_the_module_some_a_turn():
     # guards against a start that answers nobody, and lets its links break, while the module takes them all in
-    d = recovered(open_jobs=[OpenJob("s", f"k{n}", replace(JOB, id=f"c.1.{n}", offering="web"), 5.0, follow=True)
-                             for n in range(200)])
+    d = recovered(
+        open_jobs=[
+            OpenJob("s", f"k{n}", replace(JOB, id=f"c.1.{n}", offering="web"), 5.0, follow=True)
+            for n in range(200)
+        ]
+    )
     d.list(list(d.engine.fleet.hosts), 0.1)
     first = len(d.engine.module.waiting) + len(d.engine.by_job)
     assert 0 < first <= 20 and d.engine.next_due() <= 0.1
-    order(d, 0.1, "HOLD", "k199")       # while it is on its way back
+    order(d, 0.1, "HOLD", "k199")  # while it is on its way back
     d.rest(0.2)
     assert len(d.engine.module.tracks) >= 195 and "c.1.199" not in d.engine.module.tracks
     order(d, 0.3, "RELEASE", "k199")
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -38,8 +38,10 @@
 
 def silent(*kinds):
     """Says nothing to frames of these types."""
+
     async def script(host, stream, frame):
         return frame.type in kinds
+
     return script
 
 
@@ -51,11 +53,13 @@
 
 def says(*data):
     """Writes these to each set-up, with its task put in."""
+
     async def script(host, stream, frame):
         if frame.type == Type.SETUP:
             for part in data:
                 await stream.send(part(frame.task) if callable(part) else part)
             return True
+
     return script
 
 
@@ -66,18 +70,31 @@
         assert await owner.until("pong", A) == ("pong", A, 1, None)
         await owner.setup(A)
         assert (await owner.until("answer", A))[3] == SDP + "host\r\n"
-        frame, = host.sent(Type.SETUP)
-        assert (frame.task.hex(), frame.text(Code.OFFERING), frame.text(Code.KEY), frame.text(Code.DESCRIPTION)) == (
-            A, "web", "k", SDP)
+        (frame,) = host.sent(Type.SETUP)
+        assert (
+            frame.task.hex(),
+            frame.text(Code.OFFERING),
+            frame.text(Code.KEY),
+            frame.text(Code.DESCRIPTION),
+        ) == (A, "web", "k", SDP)
         assert 0 < int(frame.text(Code.WAIT)) <= 3000
         for name, figure in (("live", ""), ("c", "0.25"), ("m", "1.5"), ("s", "nan"), ("zz", "1")):
-            await host.streams[0].send(hosts.encode(Type.NOTE, frame.task, hosts.parameter(Code.NAME, name.encode())
-                                                    + hosts.parameter(Code.FIGURE, figure.encode())))
-        track, = g.service.engine.module.hosts["h1"].jobs.values()
+            await host.streams[0].send(
+                hosts.encode(
+                    Type.NOTE,
+                    frame.task,
+                    hosts.parameter(Code.NAME, name.encode()) + hosts.parameter(Code.FIGURE, figure.encode()),
+                )
+            )
+        (track,) = g.service.engine.module.hosts["h1"].jobs.values()
         await g.within(2, lambda: (track.started, track.cores, track.memory) == (True, 0.25, 1.5))
         await host.streams[0].send(release(frame.task, 16))
         assert (await owner.until("release", A))[2] == 16
-        assert in_stock(g.service, "h1") == 0 and not g.service.route.tasks and not g.service.hosts["h1"].tasks_of
+        assert (
+            in_stock(g.service, "h1") == 0
+            and not g.service.route.tasks
+            and not g.service.hosts["h1"].tasks_of
+        )
 
 
 async def test_a_labelled_jobs_mark_goes_to_its_host_unchanged(tmp_path, log):
@@ -88,7 +105,7 @@
         await owner.until("answer", A)
         await owner.setup(B, "mail", idem="no name")
         assert (await owner.until("release", B))[2] == 34
-        frame, = g.hosts["h1"].sent(Type.SETUP)
+        (frame,) = g.hosts["h1"].sent(Type.SETUP)
         assert frame.text(Code.MARK) == "abd8b7b3b4f7a2223ae372f3d9a0479b"
 
 
@@ -100,7 +117,7 @@
         for task, cause in ((A, 16), (B, 41)):
             await owner.setup(task)
             assert (await owner.until("answer", task))[3] == SDP + "host\r\n"
-            track, = g.service.engine.module.hosts["h1"].jobs.values()
+            (track,) = g.service.engine.module.hosts["h1"].jobs.values()
             assert track.confirmed and track.started
             await host.streams[0].send(release(bytes.fromhex(task), cause))
             assert (await owner.until("release", task))[2] == cause
@@ -111,7 +128,8 @@
 
 @pytest.mark.parametrize("well", [True, False])
 async def test_a_host_that_has_nothing_to_say_yet_is_tested_before_its_connection_is_given_up(
-        tmp_path, log, monkeypatch, well):
+    tmp_path, log, monkeypatch, well
+):
     # where hosts say yes once the job runs, seconds without a word are nothing wrong
     monkeypatch.setattr(hostlink, "SILENT", 0.6)
     monkeypatch.setattr(hostlink, "LOOK", 0.02)
@@ -127,14 +145,14 @@
         owner, host = await g.client(), g.hosts["h1"]
         await owner.setup(A, "feed")
         await g.within(2, lambda: host.sent(Type.SETUP))
-        stream, = host.streams
+        (stream,) = host.streams
         with anyio.fail_after(2):
             await tested.wait()
         if not well:
             assert (await owner.until("release", A, 2.0))[2] == 47
             return
-        connection, = g.service.hosts["h1"].connections
-        await g.within(2, lambda: not connection.tested)        # heard
+        (connection,) = g.service.hosts["h1"].connections
+        await g.within(2, lambda: not connection.tested)  # heard
         await stream.send(answer(bytes.fromhex(A)))
         await owner.until("answer", A)
 
@@ -151,7 +169,7 @@
         await bad.setup(C, offering="none")
         await bad.until("release", C)
         await host.streams[0].send(release(bytes.fromhex(A), 41, "ev"))
-        await g.within(2, lambda: g.service.owners.waiting)     # nothing serves yet
+        await g.within(2, lambda: g.service.owners.waiting)  # nothing serves yet
         await second.setup(B)
         await second.until("answer", B)
         assert (await second.until("release", A))[2] == 41
@@ -166,7 +184,7 @@
         await owner.send("release", A, cause=16)
         await g.within(2, lambda: host.sent(Type.RELEASE))
         assert host.sent(Type.RELEASE)[0].cause() == 16
-        await host.streams[0].send(answer(bytes.fromhex(A)))        # crossed it
+        await host.streams[0].send(answer(bytes.fromhex(A)))  # crossed it
         await anyio.sleep(0.1)
         assert not owner.said and in_stock(g.service, "h1") == 0 and not g.service.engine.launches
 
@@ -176,24 +194,31 @@
         first, second = await g.client(), await g.client()
         await first.setup(A)
         await first.until("answer", A)
-        await second.send("release", A, cause=31)       # on any connection
+        await second.send("release", A, cause=31)  # on any connection
         await g.within(2, lambda: not g.hosts["h1"].standing and not g.service.route.tasks)
         assert len(first.said) == 1 and not second.said and in_stock(g.service, "h1") == 0
 
 
-@pytest.mark.parametrize("offering,script,verdict,launches", [
-    ("feed", says(lambda task: release(task, 34, "nc")), "answer", 2),      # full: it never ran
-    ("feed", says(lambda task: release(task, 102)), "answer", 2),           # moot: it never left
-    ("feed", says(lambda task: release(task, 47)), 47, 1),
-    ("feed", says(lambda task: release(task, 41)), 47, 1),
-    ("feed", resets, 47, 1),
-    ("feed", says(b"\xff" * 40), 47, 1),
-    ("feed", says(lambda task: hosts.encode(Type.ANSWER, task)), 47, 1),    # no description
-    ("feed", silent(Type.SETUP), 47, 1),
-    ("web", resets, "answer", 2), ("web", says(b"\xff" * 40), "answer", 2),
-    ("web", says(lambda task: release(task, 47)), "answer", 2), ("web", silent(Type.SETUP), "answer", 2)])
+@pytest.mark.parametrize(
+    "offering,script,verdict,launches",
+    [
+        ("feed", says(lambda task: release(task, 34, "nc")), "answer", 2),  # full: it never ran
+        ("feed", says(lambda task: release(task, 102)), "answer", 2),  # moot: it never left
+        ("feed", says(lambda task: release(task, 47)), 47, 1),
+        ("feed", says(lambda task: release(task, 41)), 47, 1),
+        ("feed", resets, 47, 1),
+        ("feed", says(b"\xff" * 40), 47, 1),
+        ("feed", says(lambda task: hosts.encode(Type.ANSWER, task)), 47, 1),  # no description
+        ("feed", silent(Type.SETUP), 47, 1),
+        ("web", resets, "answer", 2),
+        ("web", says(b"\xff" * 40), "answer", 2),
+        ("web", says(lambda task: release(task, 47)), "answer", 2),
+        ("web", silent(Type.SETUP), "answer", 2),
+    ],
+)
 async def test_what_may_have_run_is_launched_again_only_where_that_does_no_harm(
-        tmp_path, log, offering, script, verdict, launches):
+    tmp_path, log, offering, script, verdict, launches
+):
     seen = []
 
     async def once(host, stream, frame):
@@ -237,6 +262,7 @@
 async def test_a_connection_that_is_reset_as_it_comes_up_ends_nothing_else(tmp_path, log, monkeypatch):
     class Bare(anyio.abc.SocketStream):
         """As anyio's stream over a transport of uvloop that has closed: it has no socket."""
+
         _raw_socket = None
 
         async def receive(self, max_bytes=65536):
@@ -281,7 +307,7 @@
         await owner.until("answer", A)
         before = host.streams[0]
         await before.send(b"\xff" * 20)
-        await g.within(2, lambda: host.streams and host.streams[0] is not before)     # opened at once
+        await g.within(2, lambda: host.streams and host.streams[0] is not before)  # opened at once
         await host.streams[0].send(release(bytes.fromhex(A), 16))
         assert (await owner.until("release", A))[2] == 16
 
@@ -320,7 +346,9 @@
         assert (await owner.until("release", A, 5))[2] == 41
 
 
-async def test_a_quiet_host_where_a_job_stands_is_tested_once_before_its_connection_is_given_up(tmp_path, log, monkeypatch):
+async def test_a_quiet_host_where_a_job_stands_is_tested_once_before_its_connection_is_given_up(
+    tmp_path, log, monkeypatch
+):
     for name, seconds in (("SILENT", 0.8), ("QUIET", 0.3), ("LOOK", 0.05)):
         monkeypatch.setattr(hostlink, name, seconds)
     silent = []
@@ -367,25 +395,45 @@
     async with ground(tmp_path, log, {"h1": Host()}) as g:
         owner = await g.client()
         await owner.setup(A, at="h1", left="4294967")
-        await owner.setup(A, at="h1", left="4294967")       # held already
+        await owner.setup(A, at="h1", left="4294967")  # held already
         await g.within(2, lambda: in_stock(g.service, "h1") == 1)
         await owner.setup(B, at="nowhere")
         assert (await owner.until("release", B))[2] == 41
-        await g.within(2, lambda: g.hosts["h1"].streams)        # kept up for what stands
+        await g.within(2, lambda: g.hosts["h1"].streams)  # kept up for what stands
         await g.hosts["h1"].streams[0].send(release(bytes.fromhex(A), 16))
         assert (await owner.until("release", A))[2] == 16 and len(owner.said) == 2
 
 
-BAD = [b"\x00\xff\n", b"{}\n", b"x" * 40000, b'{"type":"setup","id":"x"}\n', b'{"type":', b"",
-       b'{"type":"setup","id":"%s"}\n' % C.encode(), b'{"type":"what","id":"%s"}\n' % C.encode(),
-       b'{"type":"release","id":"%s","cause":16}\n' % C.encode(),
-       json.dumps({"type": "setup", "id": A, "sdp": "other", "fields": {
-           "class": "web", "tenant": "acme", "left": "100", "extras": "cores:1;memory:1;service:s"}}).encode() + b"\n"]
+BAD = [
+    b"\x00\xff\n",
+    b"{}\n",
+    b"x" * 40000,
+    b'{"type":"setup","id":"x"}\n',
+    b'{"type":',
+    b"",
+    b'{"type":"setup","id":"%s"}\n' % C.encode(),
+    b'{"type":"what","id":"%s"}\n' % C.encode(),
+    b'{"type":"release","id":"%s","cause":16}\n' % C.encode(),
+    json.dumps(
+        {
+            "type": "setup",
+            "id": A,
+            "sdp": "other",
+            "fields": {
+                "class": "web",
+                "tenant": "acme",
+                "left": "100",
+                "extras": "cores:1;memory:1;service:s",
+            },
+        }
+    ).encode()
+    + b"\n",
+]
 
 
 @pytest.mark.parametrize("data", BAD, ids=range(len(BAD)))
 async def test_a_bad_client_has_a_word_in_time_and_nobody_else_notices(tmp_path, log, data):
-    script = silent(Type.SETUP) if A.encode() in data else None      # still open as its id comes again
+    script = silent(Type.SETUP) if A.encode() in data else None  # still open as its id comes again
     async with ground(tmp_path, log, {"h1": Host(script)}) as g:
         owner = await g.client()
         await owner.setup(A, "feed")
@@ -436,7 +484,9 @@
     async def spoil(bus, stream, number):
         if number == 1 and len(bus.calls) < 3:
             if len(bus.calls) == 1:
-                await stream.send(b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"offset":2,"batch":[{"offset":2,')
+                await stream.send(
+                    b'HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n{"offset":2,"batch":[{"offset":2,'
+                )
                 await stream.aclose()
             else:
                 await anyio.sleep(30)
@@ -475,7 +525,7 @@
         await owner.setup(B)
         await owner.until("answer", B)
         await anyio.sleep(1.0)
-        for host in g.hosts.values():       # while jobs stand their ends are passed on
+        for host in g.hosts.values():  # while jobs stand their ends are passed on
             for task in host.standing:
                 await host.streams[0].send(release(task, 16))
         await fresh.until("release", A)
@@ -532,7 +582,7 @@
         owner = await g.client()
         await owner.setup(A, left="600")
         await g.within(2, lambda: g.service.engine.taken)
-        link, = g.service.owners.links.values()
+        (link,) = g.service.owners.links.values()
         slowed(link.link, 0.12)
         os.kill(os.getpid(), signal.SIGTERM)
         await owner.until("release", A)
@@ -545,11 +595,11 @@
         owner = await g.client()
         await owner.setup(A)
         await owner.until("answer", A)
-        link, = g.service.owners.links.values()
+        (link,) = g.service.owners.links.values()
         feed = link.link.reader.feed
 
         def crossed(data):
-            link.let_go("it says nothing of use")       # in the same moment as its words come in
+            link.let_go("it says nothing of use")  # in the same moment as its words come in
             return feed(data)
 
         link.link.reader.feed = crossed
@@ -568,7 +618,7 @@
         if frame.type in (Type.SETUP, Type.RELEASE):
             seen.append((frame.type, host))
             if len(seen) == 1:
-                await stream.send(hosts.encode(Type.PROGRESS, frame.task))      # heard, so the connection is kept
+                await stream.send(hosts.encode(Type.PROGRESS, frame.task))  # heard, so the connection is kept
             return len(seen) == 1
 
     async with ground(tmp_path, log, {"h1": Host(noted), "h2": Host(noted)}) as g:
@@ -576,8 +626,8 @@
         await owner.setup(A)
         await g.within(2, lambda: seen)
         first = seen[0][1]
-        link, = [link for name, link in g.service.hosts.items() if g.hosts[name] is first]
-        connection, = link.connections
+        (link,) = [link for name, link in g.service.hosts.items() if g.hosts[name] is first]
+        (connection,) = link.connections
         slowed(connection.link, 0.1 if ending == "written" else 30, lambda data: data[2] == Type.RELEASE)
         if ending == "closed":
             await g.within(4, lambda: connection.recalled)
@@ -585,7 +635,9 @@
             assert len(seen) == 1
             await first.streams[0].send(b"\xff" * 20)
         await owner.until("answer", A, 5)
-        assert [kind for kind, _ in seen] == [Type.SETUP, Type.RELEASE, Type.SETUP][::1 if ending == "written" else 2]
+        assert [kind for kind, _ in seen] == [Type.SETUP, Type.RELEASE, Type.SETUP][
+            :: 1 if ending == "written" else 2
+        ]
         assert seen[-1][1] is not first and len(owner.said) == 1
 
 
@@ -596,7 +648,7 @@
         owner, host = await g.client(), g.hosts["h1"]
         await owner.setup(A)
         await g.within(2, lambda: host.sent(Type.SETUP))
-        connection, = g.service.hosts["h1"].connections
+        (connection,) = g.service.hosts["h1"].connections
         slowed(connection.link, 30, lambda data: data[2] == Type.PING)
         connection.queue(hosts.encode(Type.PING, bytes(8), hosts.parameter(Code.CAUSE, b"\x00")))
         await g.within(4, lambda: connection.recalled)
@@ -616,14 +668,28 @@
         assert (await owner.until("release", A, 1.1))[2] == 47
 
 
-@pytest.mark.parametrize("change,said", [
-    ({"listen": "x"}, "listen: 'x'"), ({"bus": "1.2.3.4:99999"}, "bus:"), ({"seed": "zz"}, "seed:"),
-    ({"known": 3}, "known"), ({"limits": {"sockets": 3}}, "limits.sockets"), ({"settings": {}}, "settings: "),
-    ({"settings": {"permissions": []}}, "settings: ")])
+@pytest.mark.parametrize(
+    "change,said",
+    [
+        ({"listen": "x"}, "listen: 'x'"),
+        ({"bus": "1.2.3.4:99999"}, "bus:"),
+        ({"seed": "zz"}, "seed:"),
+        ({"known": 3}, "known"),
+        ({"limits": {"sockets": 3}}, "limits.sockets"),
+        ({"settings": {}}, "settings: "),
+        ({"settings": {"permissions": []}}, "settings: "),
+    ],
+)
 def test_a_faulty_configuration_is_one_line(change, said):
     with pytest.raises(config.ConfigFault) as caught:
-        config.parse(json.dumps(file_of("1.2.3.4:5", {"offset": 0, "batch": []}) | change).encode(), "config.json")
-    assert said in str(caught.value) and "\n" not in str(caught.value) and str(caught.value).startswith("config.json: ")
+        config.parse(
+            json.dumps(file_of("1.2.3.4:5", {"offset": 0, "batch": []}) | change).encode(), "config.json"
+        )
+    assert (
+        said in str(caught.value)
+        and "\n" not in str(caught.value)
+        and str(caught.value).startswith("config.json: ")
+    )
 
 
 def test_a_missing_configuration_is_one_line(tmp_path):
@@ -635,7 +701,9 @@
 async def test_a_fault_that_one_connection_brings_out_ends_that_connection_alone(tmp_path, log, kept):
     async with ground(tmp_path, log) as g:
         heard = g.service.route.heard
-        g.service.route.heard = lambda client, line, waited: 1 / 0 if line.id == C else heard(client, line, waited)
+        g.service.route.heard = lambda client, line, waited: (
+            1 / 0 if line.id == C else heard(client, line, waited)
+        )
         owner, bad = await g.client(), await g.client()
         await bad.setup(C)
         await g.within(2, bad.closed.is_set)
@@ -669,8 +737,13 @@
 
 def started(path, **rest):
     path.write_text(json.dumps(file_of("127.0.0.1:9", {"offset": 0, "batch": []}) | rest))
-    return subprocess.run([sys.executable, "-m", "linedeal.platform"], env=os.environ | {"EDGE_CONFIG": str(path)},
-                          capture_output=True, text=True, timeout=20)
+    return subprocess.run(
+        [sys.executable, "-m", "linedeal.platform"],
+        env=os.environ | {"EDGE_CONFIG": str(path)},
+        capture_output=True,
+        text=True,
+        timeout=20,
+    )
 
 
 def test_a_start_that_cannot_be_is_one_line_and_a_code(tmp_path):
@@ -678,6 +751,11 @@
         address = "127.0.0.1:%d" % taken.getsockname()[1]
         ended = started(tmp_path / "config.json", listen=address)
         said = [line for line in ended.stderr.splitlines() if line.startswith("linedeal: ")]
-        assert ended.returncode == 1 and len(said) == 1 and address in said[0] and "Traceback" not in ended.stderr
+        assert (
+            ended.returncode == 1
+            and len(said) == 1
+            and address in said[0]
+            and "Traceback" not in ended.stderr
+        )
     ended = started(tmp_path / "config.json", seed="no")
     assert ended.returncode == 2 and len(ended.stderr.splitlines()) == 1 and ": seed: " in ended.stderr
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -26,23 +26,42 @@
 
 
 CUTS = st.lists(st.integers(0, 1 << 16), max_size=12)
-FRAMES = st.lists(st.builds(hosts.Frame, st.sampled_from(sorted(hosts.TYPES)), st.binary(min_size=8, max_size=8),
-                            st.lists(st.tuples(st.integers(0, 255), st.binary(max_size=50)), max_size=4).map(tuple)),
-                  max_size=6)
+FRAMES = st.lists(
+    st.builds(
+        hosts.Frame,
+        st.sampled_from(sorted(hosts.TYPES)),
+        st.binary(min_size=8, max_size=8),
+        st.lists(st.tuples(st.integers(0, 255), st.binary(max_size=50)), max_size=4).map(tuple),
+    ),
+    max_size=6,
+)
 
 
 @given(FRAMES, CUTS)
 def test_frames_come_out_as_they_went_in_however_they_are_cut(frames, cuts):
-    data = b"".join(hosts.encode(f.type, f.task, b"".join(hosts.parameter(*p) for p in f.parameters)) for f in frames)
+    data = b"".join(
+        hosts.encode(f.type, f.task, b"".join(hosts.parameter(*p) for p in f.parameters)) for f in frames
+    )
     reader = hosts.FrameReader()
     assert fed(reader, pieces(data, cuts)) == frames
     reader.finish()
 
 
-LINES = st.lists(st.builds(lambda kind, number, fields, sdp: {"type": kind, "id": f"{number:016x}", "fields": fields,
-                                                              "sdp": sdp},
-                           st.sampled_from(["setup", "release", "ping"]), st.integers(0, (1 << 64) - 1),
-                           st.dictionaries(TEXT, TEXT, max_size=3), TEXT), max_size=6)
+LINES = st.lists(
+    st.builds(
+        lambda kind, number, fields, sdp: {
+            "type": kind,
+            "id": f"{number:016x}",
+            "fields": fields,
+            "sdp": sdp,
+        },
+        st.sampled_from(["setup", "release", "ping"]),
+        st.integers(0, (1 << 64) - 1),
+        st.dictionaries(TEXT, TEXT, max_size=3),
+        TEXT,
+    ),
+    max_size=6,
+)
 
 
 @given(LINES, CUTS)
@@ -67,13 +86,20 @@
 
 @given(TEXT.filter(bool))
 def test_a_description_reaches_the_owner_byte_for_byte(text):
-    line, = owners.LineReader().feed(owners.answer(ID, text))
+    (line,) = owners.LineReader().feed(owners.answer(ID, text))
     assert (line.type, line.id, line.sdp) == ("answer", ID, text)
 
 
-@pytest.mark.parametrize("data", [
-    b"\x00\x08\x06" + bytes(8), b"\xff\xff\x06" + bytes(8), b"\x00\x09\x63" + bytes(8),       # short, huge, unknown
-    b"\x00\x0b\x09" + bytes(8) + b"\x3d\x00", b"\x00\x0d\x09" + bytes(8) + b"\x3d\x00\x09a"])   # parameters cut off
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"\x00\x08\x06" + bytes(8),
+        b"\xff\xff\x06" + bytes(8),
+        b"\x00\x09\x63" + bytes(8),  # short, huge, unknown
+        b"\x00\x0b\x09" + bytes(8) + b"\x3d\x00",
+        b"\x00\x0d\x09" + bytes(8) + b"\x3d\x00\x09a",
+    ],
+)  # parameters cut off
 def test_a_frame_that_cannot_be_followed_ends_the_stream(data):
     with pytest.raises(FrameError):
         fed(hosts.FrameReader(), [data])
@@ -89,26 +115,48 @@
     assert len(reader.rest) <= owners.MOST + 1000
 
 
-@pytest.mark.parametrize("data", [b"{", b"[]", b"7", b'"x"', b'{"type":"setup"}', b'{"type":"setup","id":7}',
-                                  b'{"type":"setup","id":"9B1F03AA5C7E2D41"}', b'{"id":"%s"' % ID.encode(),
-                                  b"[" * 9000, b'{"type":"ping","id":"\xff"}',
-                                  b'{"type":"release","id":"%s","cause":1e400}' % ID.encode()])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"{",
+        b"[]",
+        b"7",
+        b'"x"',
+        b'{"type":"setup"}',
+        b'{"type":"setup","id":7}',
+        b'{"type":"setup","id":"9B1F03AA5C7E2D41"}',
+        b'{"id":"%s"' % ID.encode(),
+        b"[" * 9000,
+        b'{"type":"ping","id":"\xff"}',
+        b'{"type":"release","id":"%s","cause":1e400}' % ID.encode(),
+    ],
+)
 def test_a_line_without_an_id_closes(data):
     with pytest.raises(FrameError):
         fed(owners.LineReader(), [data + b"\n"])
 
 
-@pytest.mark.parametrize("rest", ['"type":7', '"type":"setup","fields":[]', '"type":"setup","fields":{"left":[1]}',
-                                  '"type":"release","cause":"x"', '"type":"setup","sdp":3',
-                                  '"type":"release","cause":1.5'])
+@pytest.mark.parametrize(
+    "rest",
+    [
+        '"type":7',
+        '"type":"setup","fields":[]',
+        '"type":"setup","fields":{"left":[1]}',
+        '"type":"release","cause":"x"',
+        '"type":"setup","sdp":3',
+        '"type":"release","cause":1.5',
+    ],
+)
 def test_a_line_with_an_id_that_is_no_message_can_be_refused(rest):
-    line, = fed(owners.LineReader(), [b'{"id":"%s",%s}\n' % (ID.encode(), rest.encode())])
+    (line,) = fed(owners.LineReader(), [b'{"id":"%s",%s}\n' % (ID.encode(), rest.encode())])
     assert line.id == ID and line.fault
 
 
 def ask(extras="cores:1;memory:2;service:s", **fields):
     fields = {"class": "web", "tenant": "acme", "left": "1500", "extras": extras} | fields
-    return owners.read_ask(owners.Line("setup", ID, {k: v for k, v in fields.items() if v is not None}, sdp="d"), SETTINGS)
+    return owners.read_ask(
+        owners.Line("setup", ID, {k: v for k, v in fields.items() if v is not None}, sdp="d"), SETTINGS
+    )
 
 
 def test_a_sound_set_up_is_read():
@@ -117,13 +165,32 @@
     assert ask("cores:1;memory:2;service:s;at:10.0.0.1:80", left=None).at == "10.0.0.1:80"
 
 
-@pytest.mark.parametrize("fields", [
-    {"class": "none"}, {"tenant": "nobody"}, {"left": "-1"}, {"left": "0"}, {"left": "nan"}, {"left": "1e3"},
-    {"left": "٣"}, {"left": 10 ** 9}, {"left": None}, {"left": "6001"}, {"extras": "memory:2;service:s"},
-    {"extras": "cores:0;memory:2;service:s"}, {"extras": "cores:-1;memory:2;service:s"},
-    {"extras": "cores:inf;memory:2;service:s"}, {"extras": "cores:1;cores:1;memory:2;service:s"},
-    {"extras": "cores:1;memory:99999999;service:s"}, {"extras": "cores:1;memory:2"}, {"extras": "x"},
-    {"extras": "cores:1;memory:2;service:" + "s" * 65}, {"key": "a b"}, {"key": "k" * 65}])
+@pytest.mark.parametrize(
+    "fields",
+    [
+        {"class": "none"},
+        {"tenant": "nobody"},
+        {"left": "-1"},
+        {"left": "0"},
+        {"left": "nan"},
+        {"left": "1e3"},
+        {"left": "٣"},
+        {"left": 10**9},
+        {"left": None},
+        {"left": "6001"},
+        {"extras": "memory:2;service:s"},
+        {"extras": "cores:0;memory:2;service:s"},
+        {"extras": "cores:-1;memory:2;service:s"},
+        {"extras": "cores:inf;memory:2;service:s"},
+        {"extras": "cores:1;cores:1;memory:2;service:s"},
+        {"extras": "cores:1;memory:99999999;service:s"},
+        {"extras": "cores:1;memory:2"},
+        {"extras": "x"},
+        {"extras": "cores:1;memory:2;service:" + "s" * 65},
+        {"key": "a b"},
+        {"key": "k" * 65},
+    ],
+)
 def test_figures_and_names_out_of_range_are_refused(fields):
     with pytest.raises(owners.BadAsk):
         ask(**fields)
@@ -151,14 +218,19 @@
     first = feed.take(bus.Batch(2, [event(1, True), event(2, state="DRAINING", started_ms=90_000)]), 100.0)
     assert [heard.whole for heard in first] == [True, False]
     assert (first[0].hosts[0].age, first[1].hosts[0].age, first[1].hosts[0].mode) == (
-        bus.LONG_AGO, 10.0, Mode.DRAINING)
+        bus.LONG_AGO,
+        10.0,
+        Mode.DRAINING,
+    )
     assert feed.take(bus.Batch(2, [event(2)]), 100.0) == [] and feed.number == 2
     with pytest.raises(bus.BadEvent):
         feed.take(bus.Batch(4, [event(4)]), 100.0)
     assert feed.number == 2 and len(feed.take(bus.Batch(4, [event(3), event(4)]), 100.0)) == 2
 
 
-@pytest.mark.parametrize("data", [b"", b"{", b'{"offset":"x"}', b'{"offset":1,"batch":[{"offset":1,"topology":{"servers":[{}]}}]}'])
+@pytest.mark.parametrize(
+    "data", [b"", b"{", b'{"offset":"x"}', b'{"offset":1,"batch":[{"offset":1,"topology":{"servers":[{}]}}]}']
+)
 def test_half_an_answer_of_the_bus_counts_for_nothing(data):
     with pytest.raises(bus.BadEvent):
         bus.decode(data)
