--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -81,7 +81,7 @@
         streams.append(stream)
         if len(streams) == 2:
             for old in {id(old): old for old in host.streams}.values():
-                await old.send(release(task, 31))       # on any connection that is open
+                await old.send(release(task, 31))  # on any connection that is open
             await stream.send(answer(task, "second"))
             await stream.send(release(task, 31))
         return True
@@ -93,7 +93,7 @@
         await owner.send("ping", B, cause=0)
         await owner.until("pong", B)
         assert len(host.sent(Type.SETUP)) == 2 and in_stock(g.service, "h1") == 1 and len(owner.said) == 2
-        await streams[1].send(release(task, 41))        # this one is about what stands
+        await streams[1].send(release(task, 41))  # this one is about what stands
         assert (await owner.until("release", A))[2] == 41
 
 
@@ -125,7 +125,9 @@
         with anyio.fail_after(2):
             await net.begun.wait()
         g.bus.tell(g.server("h1", "DELETED"), g.server("h2"))
-        await g.within(2, lambda: "h1" in g.service.engine.fleet.gone or "h1" not in g.service.engine.fleet.hosts)
+        await g.within(
+            2, lambda: "h1" in g.service.engine.fleet.gone or "h1" not in g.service.engine.fleet.hosts
+        )
         net.come.set()
         await owner.until("answer", A)
         assert not g.hosts["h1"].sent(Type.SETUP) and len(g.hosts["h2"].sent(Type.SETUP)) == 1
@@ -142,7 +144,9 @@
             return True
 
     classes = [item | {"window_ms": 200.0} for item in SETUP["classes"]]
-    async with ground(tmp_path, log, {"h1": Host(script), "h2": Host()}, net=net, setup=SETUP | {"classes": classes}) as g:
+    async with ground(
+        tmp_path, log, {"h1": Host(script), "h2": Host()}, net=net, setup=SETUP | {"classes": classes}
+    ) as g:
         g.bus.tell(g.server("h2", "DRAINING"))
         await g.within(2, lambda: g.service.engine.fleet.hosts["h2"].listed.mode is api.Mode.DRAINING)
         net.port = g.hosts["h2"].port
@@ -151,7 +155,7 @@
         await g.within(2, lambda: ran)
         g.bus.tell(g.server("h2"))
         with anyio.fail_after(1):
-            await net.begun.wait()      # decided on
+            await net.begun.wait()  # decided on
         await g.within(1, lambda: anyio.current_time() > ran[0] + 0.2)
         net.come.set()
         assert (await owner.until("release", A, 5.0))[2] == 47
@@ -244,11 +248,13 @@
             await owner.setup("%016x" % n)
         for n in range(8):
             await owner.until("answer", "%016x" % n)
-        await g.within(2, lambda: len(g.service.hosts["h1"].connections) > 1 and not g.service.hosts["h1"].opening)
+        await g.within(
+            2, lambda: len(g.service.hosts["h1"].connections) > 1 and not g.service.hosts["h1"].opening
+        )
         known = list(host.streams)
         await anyio.aclose_forcefully(known[0])
         await g.within(2, lambda: any(stream not in known for stream in host.streams))
-        fresh, = [stream for stream in host.streams if stream not in known]
+        (fresh,) = [stream for stream in host.streams if stream not in known]
         await fresh.send(release(bytes.fromhex("%016x" % 3), 16))
         assert (await owner.until("release", "%016x" % 3))[2] == 16
 
@@ -271,8 +277,22 @@
 
 
 def setup_line(task, offering="web"):
-    return json.dumps({"type": "setup", "id": task, "sdp": SDP, "fields": {
-        "class": offering, "left": "3000", "tenant": "acme", "extras": "cores:1;memory:2;service:s"}}).encode() + b"\n"
+    return (
+        json.dumps(
+            {
+                "type": "setup",
+                "id": task,
+                "sdp": SDP,
+                "fields": {
+                    "class": offering,
+                    "left": "3000",
+                    "tenant": "acme",
+                    "extras": "cores:1;memory:2;service:s",
+                },
+            }
+        ).encode()
+        + b"\n"
+    )
 
 
 def release_line(task):
@@ -304,7 +324,8 @@
 
 @pytest.mark.parametrize("how", ["cancels", "closes"])
 async def test_a_client_that_goes_during_a_long_turn_has_nothing_launched_after_it(
-        tmp_path, log, raw_owner, monkeypatch, how):
+    tmp_path, log, raw_owner, monkeypatch, how
+):
     # the turn that decides on the launch reads nothing meanwhile: the word lies in the socket as the launch is written
     async with ground(tmp_path, log, {"h1": Host()}) as g:
         stayer, leaver = await g.client(), raw_owner(g.address)
@@ -346,7 +367,7 @@
         monkeypatch.setattr(Link, "close", slow)
         await owner.stream.aclose()
         await g.within(2, lambda: not g.service.engine.taken)
-        assert g.service.owners.closing == 1 and g.service.descriptors.owners == 1     # it still holds one
+        assert g.service.owners.closing == 1 and g.service.descriptors.owners == 1  # it still holds one
         held.set()
         await g.within(2, lambda: not g.service.descriptors.owners)
 
@@ -374,13 +395,17 @@
         first, second = await g.client(), raw_owner(g.address)
         await first.setup(A)
         await first.until("answer", A)
-        second.sendall(BAD * 3 + json.dumps({"type": "release", "id": A, "fields": {}, "cause": 31}).encode() + b"\n")
+        second.sendall(
+            BAD * 3 + json.dumps({"type": "release", "id": A, "fields": {}, "cause": 31}).encode() + b"\n"
+        )
         second.close()
         await g.within(2, lambda: not g.hosts["h1"].standing)
 
 
 @pytest.mark.parametrize("bad", [0, 6])
-async def test_what_a_late_loop_leaves_unread_counts_as_time_that_the_job_has_had(tmp_path, log, raw_owner, monkeypatch, bad):
+async def test_what_a_late_loop_leaves_unread_counts_as_time_that_the_job_has_had(
+    tmp_path, log, raw_owner, monkeypatch, bad
+):
     # `left` counts from when it was sent: reckoned from when it was read, or taken, the answer came after its owner's time
     async with ground(tmp_path, log, {"h1": Host(silent)}) as g:
         owner, turn, sent = raw_owner(g.address), g.service.engine.turn, []
@@ -391,13 +416,13 @@
             if not sent:
                 sent.append(anyio.current_time())
                 owner.sendall(BAD * bad + setup_line(A))
-                time.sleep(0.4)     # the loop stands still
+                time.sleep(0.4)  # the loop stands still
             return turn(now)
 
         monkeypatch.setattr(g.service.engine, "turn", long_turn)
         g.service.inbox.arrived.set()
         await g.within(2, lambda: g.service.engine.taken)
-        taken, = g.service.engine.taken.values()
+        (taken,) = g.service.engine.taken.values()
         assert sent[0] + 2.9 <= taken.job.expiry <= sent[0] + 3.0 + 0.03
 
 
@@ -408,9 +433,12 @@
         await anyio.sleep(0)
 
 
-async def test_what_a_new_connection_brings_has_waited_for_more_rounds_of_a_slow_loop(tmp_path, log, raw_owner):
+async def test_what_a_new_connection_brings_has_waited_for_more_rounds_of_a_slow_loop(
+    tmp_path, log, raw_owner
+):
     # accepted, set up and read in rounds of their own: each as slow as the loop is
     async with ground(tmp_path, log, {"h1": Host(silent)}) as g:
+
         def come():
             owner = raw_owner(g.address)
             sent = time.monotonic()
@@ -423,13 +451,16 @@
         with anyio.fail_after(10):
             while not g.service.engine.taken:
                 await anyio.sleep(0)
-        taken, = g.service.engine.taken.values()
+        (taken,) = g.service.engine.taken.values()
         assert sent + 2.0 <= taken.job.expiry <= sent + 3.0 + 0.1
 
 
-async def test_connections_that_come_at_once_are_accepted_together_also_by_a_slow_loop(tmp_path, log, raw_owner):
+async def test_connections_that_come_at_once_are_accepted_together_also_by_a_slow_loop(
+    tmp_path, log, raw_owner
+):
     # one after the other, some rounds each, the last ones' jobs have lost the most of their time before they are read
     async with ground(tmp_path, log, {"h1": Host(silent)}) as g:
+
         def come():
             sent = time.monotonic()
             for n in range(12):
@@ -447,11 +478,13 @@
 
 
 @pytest.mark.parametrize("word", [b"", setup_line(A)])
-async def test_a_connection_that_is_reset_before_it_is_served_ends_nothing(tmp_path, log, raw_owner, monkeypatch, word):
+async def test_a_connection_that_is_reset_before_it_is_served_ends_nothing(
+    tmp_path, log, raw_owner, monkeypatch, word
+):
     from_socket, reset = anyio.abc.SocketStream.from_socket, []
 
     async def once_reset(sock):
-        if word and not reset:      # it has been accepted, and what it brought was read
+        if word and not reset:  # it has been accepted, and what it brought was read
             reset.append(sock)
             gone.close()
             while select.select([sock], [], [], 0)[0] == []:
@@ -463,7 +496,7 @@
         gone = raw_owner(g.address)
         gone.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         gone.sendall(word)
-        if not word:        # still in the backlog
+        if not word:  # still in the backlog
             gone.close()
         owner = await g.client()
         await owner.setup(B)
@@ -471,7 +504,9 @@
         await g.within(2, lambda: g.service.descriptors.owners == 1)
 
 
-async def test_more_connections_that_come_at_once_than_descriptors_leave_room_for_dials(tmp_path, log, raw_owner):
+async def test_more_connections_that_come_at_once_than_descriptors_leave_room_for_dials(
+    tmp_path, log, raw_owner
+):
     # all that wait are accepted in one round, before any of them can be let go of; a dial must not find none left
     async with ground(tmp_path, log, {"h1": Host(), "h2": Host()}, sockets=64) as g:
         taken, most = g.service.descriptors, []
@@ -482,10 +517,10 @@
             tell()
 
         taken.tell = told
-        idle = [raw_owner(g.address) for _ in range(150)]       # in the backlog: the loop stands still meanwhile
+        idle = [raw_owner(g.address) for _ in range(150)]  # in the backlog: the loop stands still meanwhile
         await g.within(2, lambda: taken.owners >= taken.budget // 2)
         g.bus.tell(g.server("h1", "DRAINING"))
-        for number in range(12):    # let in though idle ones stand before them
+        for number in range(12):  # let in though idle ones stand before them
             owner = await g.client()
             await owner.setup("%016x" % number)
             await owner.until("answer", "%016x" % number, 8)
@@ -493,10 +528,10 @@
 
 
 def test_connections_of_owners_and_dials_share_what_is_left():
-    taken = Descriptors(64)     # 40 to share, 20 of them the owners'
+    taken = Descriptors(64)  # 40 to share, 20 of them the owners'
     taken.taken(owners=20, hosts=19)
     assert taken.may_accept
-    taken.wanted = 9            # a dial is waited for: owners beyond their share wait behind it
+    taken.wanted = 9  # a dial is waited for: owners beyond their share wait behind it
     assert not taken.may_accept
     taken.given_back(owners=1)  # within it they do not: hosts that cannot be reached must not keep all out
     assert taken.may_accept
@@ -510,27 +545,36 @@
 @pytest.mark.parametrize("late", [0.0, 0.1, 0.4])
 @pytest.mark.parametrize("left", [True, False])
 @pytest.mark.parametrize("offering,verdict", [("web", do.Verdict.REJECTED), ("feed", do.Verdict.WRITTEN_OFF)])
-def test_a_job_whose_time_is_over_has_its_answer_in_that_turn_whatever_its_launch_is_owed(offering, verdict, left, late):
+def test_a_job_whose_time_is_over_has_its_answer_in_that_turn_whatever_its_launch_is_owed(
+    offering, verdict, left, late
+):
     # the word that gives the launch up takes some turns more: as long as the loop is slow, and the answer came too late
     setup = SETUP | {"domain": SETUP["domain"] | {"confirms": "running"}}
     controller = engine.Engine(parsed(setup=setup).cluster, "n1", 1, 5, 0.0, accounts_given=False)
     controller.begin()
-    controller.put(on.ListHeard((on.ListedHost("h1", ("127.0.0.1:1",), "std", "z", 0, api.Mode.SERVING, 0, 1e7, 36.0, 80.0),),
-                                True, 1))
+    controller.put(
+        on.ListHeard(
+            (on.ListedHost("h1", ("127.0.0.1:1",), "std", "z", 0, api.Mode.SERVING, 0, 1e7, 36.0, 80.0),),
+            True,
+            1,
+        )
+    )
     controller.turn(0.0)
     controller.put(on.Submitted(7, A, offering, "acme", "s", 1.0, 2.0, 3.0, work=bytes.fromhex(A)))
-    launch, = (one for one in controller.turn(1.0) if type(one) is do.SendLaunch)
+    (launch,) = (one for one in controller.turn(1.0) if type(one) is do.SendLaunch)
     if left:
         controller.put(on.Left("h1", 1, (launch.number,)))
     assert not any(type(one) is do.Answer for one in controller.turn(3.9))
     out = controller.turn(4.0 + late)
-    given, = (one for one in out if type(one) is do.Answer)
-    assert given.verdict is (verdict if left else do.Verdict.REJECTED)      # what never left is known not to have run
+    (given,) = (one for one in out if type(one) is do.Answer)
+    assert given.verdict is (
+        verdict if left else do.Verdict.REJECTED
+    )  # what never left is known not to have run
     assert any(type(one) is (do.SendStop if left else do.Unsend) for one in out)
     controller.put(on.GivenUp("h1", (launch.number,)))
     controller.put(on.Unsent("h1", (launch.number,)))
     assert not any(type(one) in (do.Answer, do.SendLaunch) for one in controller.turn(4.6))
-    controller.put(on.Accepted("h1", on.LaunchId(1, launch.number), "", instead=True))     # it is ended there
+    controller.put(on.Accepted("h1", on.LaunchId(1, launch.number), "", instead=True))  # it is ended there
     assert [type(one) for one in controller.turn(4.7)] == [do.SendStop]
 
 
@@ -538,15 +582,21 @@
 
 
 @pytest.mark.parametrize("said", ["ping", ""])
-async def test_a_set_up_that_lies_unread_as_its_connection_is_to_be_closed_is_taken(tmp_path, log, raw_owner, said):
+async def test_a_set_up_that_lies_unread_as_its_connection_is_to_be_closed_is_taken(
+    tmp_path, log, raw_owner, said
+):
     # its owner sends it again only where it crosses the close within 50 ms; here it has lain for however long
     async with ground(tmp_path, log, {"h1": Host()}) as g:
         owner = raw_owner(g.address)
         if said:
             owner.sendall(json.dumps({"type": "ping", "id": B, "fields": {}, "cause": 0}).encode() + b"\n")
-        await g.within(2, lambda: g.service.owners.links and (
-            not said or next(iter(g.service.owners.links.values())).usual))
-        link, = g.service.owners.links.values()
+        await g.within(
+            2,
+            lambda: (
+                g.service.owners.links and (not said or next(iter(g.service.owners.links.values())).usual)
+            ),
+        )
+        (link,) = g.service.owners.links.values()
         owner.sendall(setup_line(A))
         assert not await g.service.owners.close_idle(link, "it says nothing of use")
         await g.within(2, lambda: A in g.service.route.tasks and g.service.route.tasks[A].stands)
@@ -560,7 +610,7 @@
     second = Bus()
     async with ground(tmp_path, log, {"h1": Host(), "h2": Host()}) as g:
         await g.tasks.start(second.run)
-        monkeypatch.setattr(inbox, "MOST", 0)       # as full as can be: who waits for room in it waits
+        monkeypatch.setattr(inbox, "MOST", 0)  # as full as can be: who waits for room in it waits
         g.bus.tell(g.server("h2", "DRAINING"))
         await g.within(2, lambda: g.service.feed.number == 2)
         second.events = list(g.bus.events)
@@ -577,8 +627,10 @@
     with pytest.raises(bus.BadEvent):
         feed.take(bus.Batch(41, []), 0.0)
     feed.number = 0
-    assert feed.take(bus.Batch(41, []), 0.0) == [] and feed.number == 41       # no more is to be had: not asked for ever
-    assert feed.take(bus.Batch(30, []), 0.0) == [] and feed.number == 41       # an older one takes nothing back
+    assert (
+        feed.take(bus.Batch(41, []), 0.0) == [] and feed.number == 41
+    )  # no more is to be had: not asked for ever
+    assert feed.take(bus.Batch(30, []), 0.0) == [] and feed.number == 41  # an older one takes nothing back
 
 
 async def test_controllers_that_lose_the_bus_in_one_moment_come_back_in_different_ones():
@@ -601,7 +653,7 @@
         owner = await g.client()
         await owner.setup(A, left="600")
         await g.within(2, lambda: g.service.engine.taken)
-        link, = g.service.owners.links.values()
+        (link,) = g.service.owners.links.values()
         send, flush = link.link.send, g.service.owners.flush
 
         async def held(data, within):
@@ -611,12 +663,12 @@
         async def counted(within):
             await flush(within)
             flushed.append(within)
-            if len(flushed) == 3:       # it has been ready to end twice over
+            if len(flushed) == 3:  # it has been ready to end twice over
                 read.set()
 
         link.link.send, g.service.owners.flush = held, counted
         os.kill(os.getpid(), signal.SIGTERM)
-        os.kill(os.getpid(), signal.SIGHUP)     # a reload meanwhile, and a second word to end, change nothing
+        os.kill(os.getpid(), signal.SIGHUP)  # a reload meanwhile, and a second word to end, change nothing
         os.kill(os.getpid(), signal.SIGTERM)
         await owner.until("release", A, 4.0)
         await g.within(2, owner.closed.is_set)
@@ -624,7 +676,8 @@
 
 @pytest.mark.parametrize("rounds", [0, 6])
 async def test_a_set_up_that_lies_unread_as_the_service_is_about_to_end_is_answered(
-        tmp_path, log, monkeypatch, raw_owner, rounds):
+    tmp_path, log, monkeypatch, raw_owner, rounds
+):
     # `rounds`: of the loop, from a connection's being accepted to its being served; then it is the only one that brings any
     monkeypatch.setattr(service, "COMING", 0.2)
     from_socket = anyio.abc.SocketStream.from_socket
@@ -641,7 +694,7 @@
 
         async def and_then(within):
             await flush(within)
-            if not sent:        # accepted or in the backlog, and not a byte of it read
+            if not sent:  # accepted or in the backlog, and not a byte of it read
                 late = raw_owner(g.address)
                 for one in (late,) if rounds else (owner, late):
                     one.sendall(setup_line("%016x" % len(sent)))
@@ -650,7 +703,7 @@
         g.service.owners.flush = and_then
         os.kill(os.getpid(), signal.SIGTERM)
         await g.within(3, lambda: len(sent) == (1 if rounds else 2))
-        for one in sent:        # by now it takes no more, and says so
+        for one in sent:  # by now it takes no more, and says so
             one.settimeout(2)
             assert b'"cause":34' in await anyio.to_thread.run_sync(one.recv, 4096)
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -17,7 +17,7 @@
 from tests.drive import CLUSTER, Drive
 
 JOB = api.Job("c.1.1", "feed", "", "s", 1.0, 1.0, 9.0)
-OLD = OldLaunch(on.LaunchId(1, 1), "a", 5)      # nothing is known of when it was sent
+OLD = OldLaunch(on.LaunchId(1, 1), "a", 5)  # nothing is known of when it was sent
 SENT = replace(OLD, sent_ago=2.0)
 
 
@@ -29,36 +29,39 @@
 NEVER_RAN, MAY_HAVE = account(), account(boot=6)
 
 
-@pytest.mark.parametrize("launches, accounts, effect, lost, over, up, step", [
-    ((), {}, "IRREVERSIBLE", (), False, False, Step.AGAIN),
-    ((), {}, "IRREVERSIBLE", (), False, True, Step.REJECT),
-    ((OLD,), {}, "IRREVERSIBLE", (), True, False, Step.WAIT),
-    ((OLD,), {}, "IRREVERSIBLE", (), True, True, Step.WRITE_OFF),
-    ((OLD,), {}, "REDOABLE", (), False, False, Step.WAIT),
-    ((OLD,), {}, "REDOABLE", (), True, False, Step.AGAIN),
-    ((OLD,), {}, "REDOABLE", (), True, True, Step.REJECT),
-    ((OLD,), NEVER_RAN, "IRREVERSIBLE", (), False, False, Step.AGAIN),
-    ((OLD,), NEVER_RAN, "IRREVERSIBLE", (), False, True, Step.REJECT),
-    ((OLD,), MAY_HAVE, "IRREVERSIBLE", (), False, False, Step.WAIT),
-    ((OLD,), MAY_HAVE, "IRREVERSIBLE", (), False, True, Step.WRITE_OFF),
-    ((OLD,), MAY_HAVE, "LABELLED", (), True, True, Step.WRITE_OFF),
-    ((OLD,), MAY_HAVE, "REDOABLE", (), False, False, Step.AGAIN),
-    ((SENT,), MAY_HAVE, "LABELLED", (), False, False, Step.AGAIN),
-    ((SENT,), {}, "LABELLED", (), False, False, Step.WAIT),
-    ((SENT,), {}, "LABELLED", (), True, False, Step.AGAIN),
-    ((SENT,), MAY_HAVE, "LABELLED", ("a",), True, False, Step.WAIT),
-    ((SENT,), MAY_HAVE, "LABELLED", (), True, True, Step.WRITE_OFF),
-    ((OLD,), MAY_HAVE, "LABELLED", (), True, False, Step.WAIT),
-    ((OLD,), account(forgot=True), "IRREVERSIBLE", (), False, True, Step.WRITE_OFF),
-    ((OLD,), {}, "IRREVERSIBLE", ("a",), False, False, Step.WAIT),
-    ((OLD,), {}, "REDOABLE", ("a",), False, False, Step.AGAIN),
-    ((OldLaunch(OLD.id, "a", 5, void=True),), {}, "IRREVERSIBLE", (), False, False, Step.AGAIN),
-    ((OldLaunch(OLD.id, "a", 5, void=True),), {}, "IRREVERSIBLE", ("a",), False, False, Step.AGAIN),
-    ((OLD,), account(phase=on.Phase.ACCEPTED), "IRREVERSIBLE", (), False, False, Step.PLACED),
-    ((OLD,), account(phase=on.Phase.RUNNING), "REDOABLE", (), False, True, Step.PLACED),
-    ((OLD,), account(phase=on.Phase.OVER), "IRREVERSIBLE", (), False, False, Step.PLACED),
-    ((OLD,), account(phase=on.Phase.QUEUED), "IRREVERSIBLE", (), False, True, Step.WRITE_OFF),
-])
+@pytest.mark.parametrize(
+    "launches, accounts, effect, lost, over, up, step",
+    [
+        ((), {}, "IRREVERSIBLE", (), False, False, Step.AGAIN),
+        ((), {}, "IRREVERSIBLE", (), False, True, Step.REJECT),
+        ((OLD,), {}, "IRREVERSIBLE", (), True, False, Step.WAIT),
+        ((OLD,), {}, "IRREVERSIBLE", (), True, True, Step.WRITE_OFF),
+        ((OLD,), {}, "REDOABLE", (), False, False, Step.WAIT),
+        ((OLD,), {}, "REDOABLE", (), True, False, Step.AGAIN),
+        ((OLD,), {}, "REDOABLE", (), True, True, Step.REJECT),
+        ((OLD,), NEVER_RAN, "IRREVERSIBLE", (), False, False, Step.AGAIN),
+        ((OLD,), NEVER_RAN, "IRREVERSIBLE", (), False, True, Step.REJECT),
+        ((OLD,), MAY_HAVE, "IRREVERSIBLE", (), False, False, Step.WAIT),
+        ((OLD,), MAY_HAVE, "IRREVERSIBLE", (), False, True, Step.WRITE_OFF),
+        ((OLD,), MAY_HAVE, "LABELLED", (), True, True, Step.WRITE_OFF),
+        ((OLD,), MAY_HAVE, "REDOABLE", (), False, False, Step.AGAIN),
+        ((SENT,), MAY_HAVE, "LABELLED", (), False, False, Step.AGAIN),
+        ((SENT,), {}, "LABELLED", (), False, False, Step.WAIT),
+        ((SENT,), {}, "LABELLED", (), True, False, Step.AGAIN),
+        ((SENT,), MAY_HAVE, "LABELLED", ("a",), True, False, Step.WAIT),
+        ((SENT,), MAY_HAVE, "LABELLED", (), True, True, Step.WRITE_OFF),
+        ((OLD,), MAY_HAVE, "LABELLED", (), True, False, Step.WAIT),
+        ((OLD,), account(forgot=True), "IRREVERSIBLE", (), False, True, Step.WRITE_OFF),
+        ((OLD,), {}, "IRREVERSIBLE", ("a",), False, False, Step.WAIT),
+        ((OLD,), {}, "REDOABLE", ("a",), False, False, Step.AGAIN),
+        ((OldLaunch(OLD.id, "a", 5, void=True),), {}, "IRREVERSIBLE", (), False, False, Step.AGAIN),
+        ((OldLaunch(OLD.id, "a", 5, void=True),), {}, "IRREVERSIBLE", ("a",), False, False, Step.AGAIN),
+        ((OLD,), account(phase=on.Phase.ACCEPTED), "IRREVERSIBLE", (), False, False, Step.PLACED),
+        ((OLD,), account(phase=on.Phase.RUNNING), "REDOABLE", (), False, True, Step.PLACED),
+        ((OLD,), account(phase=on.Phase.OVER), "IRREVERSIBLE", (), False, False, Step.PLACED),
+        ((OLD,), account(phase=on.Phase.QUEUED), "IRREVERSIBLE", (), False, True, Step.WRITE_OFF),
+    ],
+)
 def test_what_becomes_of_a_job(launches, accounts, effect, lost, over, up, step):
     job = OpenJob("s", "k", JOB, 5.0, launches)
     listed = frozenset({"a"} - set(lost))
@@ -67,6 +70,7 @@
 
 # the journal
 
+
 def take(key="k", job=JOB, expires_in=6.0):
     return do.Take(1, key, job.id, "s", job, expires_in)
 
@@ -79,9 +83,19 @@
     journal = Journal(Store(tmp_path))
     journal.write(100.0, 1, [take(), launch(1), launch(2), do.KeepVoid(on.LaunchId(1, 1))])
     found = journal.read(102.0, 6.0)
-    assert found.open == (OpenJob("s", "k", JOB, 4.0, (OldLaunch(on.LaunchId(1, 1), "a", 5, True, 2.0),
-                                                       OldLaunch(on.LaunchId(1, 2), "a", 5, False, 2.0)),
-                                  taken_ago=2.0),)
+    assert found.open == (
+        OpenJob(
+            "s",
+            "k",
+            JOB,
+            4.0,
+            (
+                OldLaunch(on.LaunchId(1, 1), "a", 5, True, 2.0),
+                OldLaunch(on.LaunchId(1, 2), "a", 5, False, 2.0),
+            ),
+            taken_ago=2.0,
+        ),
+    )
     journal.write(102.0, 1, [do.Answer(1, "k", JOB.id, do.Verdict.PLACED, "a", True)])
     (kept,) = journal.read(103.0, 6.0).answers
     assert (kept.session, kept.key, kept.job, kept.stage, kept.host) == ("s", "k", JOB, "PLACED", "a")
@@ -101,9 +115,9 @@
     journal = Journal(Store(tmp_path))
     journal.write(100.0, 1, [launch(1)])
     with pytest.raises(StoreFault, match="controller.db: journal cannot be written"):
-        journal.write(100.0, 1, [take(), launch(1)])     # the same launch number again
+        journal.write(100.0, 1, [take(), launch(1)])  # the same launch number again
     assert journal.read(100.0, 6.0).open == ()
-    journal.write(100.0, 1, [take()])                     # and it goes on
+    journal.write(100.0, 1, [take()])  # and it goes on
 
 
 def test_a_full_disk_is_a_plain_message(tmp_path):
@@ -113,8 +127,10 @@
     while not journal.full:
         number += 1
         journal.write(1.0, 1, [launch(number)])
-    assert not journal.spare_path.exists() and journal.look()       # the spare is what goes on being written to
-    with pytest.raises(JournalFull, match="controller.db: journal cannot be written: database or disk is full"):
+    assert not journal.spare_path.exists() and journal.look()  # the spare is what goes on being written to
+    with pytest.raises(
+        JournalFull, match="controller.db: journal cannot be written: database or disk is full"
+    ):
         for again in range(20000):
             journal.write(1.0, 1, [launch(number + 1 + again)])
     assert again > 200 and journal.read(1.0, 6.0).open == ()
@@ -174,6 +190,7 @@
 
 # sessions at the engine
 
+
 def ask(d, now, offering="web", client=1, key="k", session="s", cores=1.0):
     return d.turn(now, on.Submitted(client, key, offering, "", "v", cores, 1.0, 0.0, session))
 
@@ -182,7 +199,7 @@
     d = Drive()
     effects = ask(d, 1.0)
     assert [type(effect) for effect in to_keep(effects)] == [do.Take, do.SendLaunch]
-    assert not to_keep(d.submit(1.0, key="other"))      # without a session nothing is kept
+    assert not to_keep(d.submit(1.0, key="other"))  # without a session nothing is kept
 
 
 def test_the_same_key_joins_and_other_content_is_a_fault():
@@ -205,7 +222,7 @@
     answer = d.only(do.Answer, ask(d, 2.0, client=7))[0]
     assert (answer.client, answer.verdict, answer.job) == (7, do.Verdict.PLACED, job)
     assert d.turn(2.1, on.AnswerSeen("s", "k")) == [do.KeepNoMore(job)]
-    assert d.only(do.Take, ask(d, 2.2, client=7))[0].job != job     # confirmed: the key is free
+    assert d.only(do.Take, ask(d, 2.2, client=7))[0].job != job  # confirmed: the key is free
 
 
 def test_a_refusal_is_known_to_the_next_life():
@@ -217,6 +234,7 @@
 
 # a kill at every step
 
+
 class World:
     """One client, one host, one journal on disk, and controllers that are killed. Time is passed by hand."""
 
@@ -253,8 +271,16 @@
             self.events = []
             effects = self.engine.turn(self.now)
             keep = to_keep(effects)
-            units = ([("journal " + "+".join(type(e).__name__ for e in keep), lambda: self.journal.write(
-                self.now, self.life, keep))] if keep else [])
+            units = (
+                [
+                    (
+                        "journal " + "+".join(type(e).__name__ for e in keep),
+                        lambda: self.journal.write(self.now, self.life, keep),
+                    )
+                ]
+                if keep
+                else []
+            )
             units += [(type(effect).__name__, lambda effect=effect: self.carry(effect)) for effect in effects]
             for name, unit in units:
                 if self.steps == crash_at:
@@ -269,7 +295,7 @@
 
     def kill(self, name, unit):
         if name == "SendLaunch" and not self.lost:
-            unit()              # the bytes had left; the controller dies before it hears of them
+            unit()  # the bytes had left; the controller dies before it hears of them
         self.store.close()
         self.events = []
         self.now += 0.5
@@ -317,17 +343,23 @@
         reached |= set(world.reached)
         told = (world.reached, world.answers, world.runs)
         assert len(world.answers) == 1, told
-        if offering == "mail":      # again only within the window of the first, whichever life sent that
+        if offering == "mail":  # again only within the window of the first, whichever life sent that
             assert all(at < world.ran_at[0] + 4.0 for at in world.ran_at), (told, world.ran_at)
         elif offering == "feed":
             assert world.runs <= 1, told
         if offering != "web":
             assert world.runs == 0 or world.answers != ["rejected"], told
         if not reborn:
-            assert world.answers == ["placed"], told        # nothing is given up that could be known
+            assert world.answers == ["placed"], told  # nothing is given up that could be known
         crash += 1
-    assert {"journal Take+SendLaunch", "SendLaunch", "Take", "journal Answer", "Answer",
-            "journal KeepNoMore"} <= reached
+    assert {
+        "journal Take+SendLaunch",
+        "SendLaunch",
+        "Take",
+        "journal Answer",
+        "Answer",
+        "journal KeepNoMore",
+    } <= reached
 
 
 @pytest.mark.parametrize("offering", ["web", "feed"])
@@ -345,7 +377,7 @@
         world = World(tmp_path / str(crash), "feed", False, False, "accepted")
         world.begin()
         if not world.run(crash) and world.runs:
-            break       # killed as the launch left
+            break  # killed as the launch left
     world.begin()
     world.events = [event for event in world.events if not isinstance(event, on.LinkUp)]
     world.run()
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -19,7 +19,7 @@
 from linedeal.settings.records import CouncilSettings
 from linedeal.standin.tool import ToolServer
 
-CLUSTER = '''
+CLUSTER = """
 cluster {
   controllers = 4
 }
@@ -61,7 +61,7 @@
   away = 6
   strain = 0.9
 }
-'''
+"""
 DAY = """cluster cluster.hcl
 controllers 4 zones a b
 habit setup=0.2 life=1.5
@@ -103,7 +103,7 @@
     async def until(self, holds, within=20.0):
         with anyio.move_on_after(within):
             while True:
-                with suppress(Unlearned):       # no majority at this moment
+                with suppress(Unlearned):  # no majority at this moment
                     if await holds():
                         return
                 await anyio.sleep(0.2)
@@ -114,7 +114,10 @@
 
     async def all_vote(self):
         async with self.ground.operator.asker() as asker:
-            told = [await asker.ask_member(member, pb.CouncilAsk(kind=pb.STATUS), 1.0) for member in ("c1", "c2", "c3")]
+            told = [
+                await asker.ask_member(member, pb.CouncilAsk(kind=pb.STATUS), 1.0)
+                for member in ("c1", "c2", "c3")
+            ]
         return all(one is not None and json.loads(one.body)["votes"] for one in told)
 
     async def over(self):
@@ -155,11 +158,14 @@
 
             async def passed_on():
                 return await token_of(release) > token
+
             await release.until(passed_on)
-            if fault == "kill":     # a member votes again once the others know its new life: no second fault before
+            if (
+                fault == "kill"
+            ):  # a member votes again once the others know its new life: no second fault before
                 await release.ground.start(owner)
                 await release.until(release.all_vote)
-            elif fault == "stop":       # asleep for longer than the lease: what it sends now is an old owner's
+            elif fault == "stop":  # asleep for longer than the lease: what it sends now is an old owner's
                 await release.ground.stand(owner, False)
 
     release = Release(tmp_path, "at 1 campaign r1 hosts most=1\n", length=16.0).play(course)
@@ -172,9 +178,11 @@
 
 
 def test_a_campaign_goes_on_through_lost_late_doubled_packets_clocks_apart_and_a_dead_host(tmp_path):
-    orders = ("clock c1 1.05\nclock c2 0.95\nat 0 loss 0.15 for 14\nat 0 double 0.2 for 14\nat 0 delay 0.15 for 14\n"
-              "at 1 campaign r1 h01,h02,h03,h04 most=2\nat 3 kill h06 for 5\nat 4 jump c1 1\nat 6 cut owner:campaign from c2,h01 "
-              "one-way for 3\n")
+    orders = (
+        "clock c1 1.05\nclock c2 0.95\nat 0 loss 0.15 for 14\nat 0 double 0.2 for 14\nat 0 delay 0.15 for 14\n"
+        "at 1 campaign r1 h01,h02,h03,h04 most=2\nat 3 kill h06 for 5\nat 4 jump c1 1\nat 6 cut owner:campaign from c2,h01 "
+        "one-way for 3\n"
+    )
     release = Release(tmp_path, orders).play()
     assert release.standing.progress.ended == "done" and not release.standing.progress.left
     lives = release.boots()
@@ -188,13 +196,20 @@
     release = Release(tmp_path, "at 1 campaign r1 hosts most=3\nat 2 kill c4 for 24\n", day=day).play()
     assert release.standing.progress.ended == "done"
     replaced = {who: t for t, what, who in release.traffic.marks if what == "replace"}
-    assert any(launch.controller == "c4" and launch.job.offering == "feed" and launch.host in replaced
-               and launch.accepted < replaced[launch.host] < launch.ended for launch in release.traffic.launches.values())
+    assert any(
+        launch.controller == "c4"
+        and launch.job.offering == "feed"
+        and launch.host in replaced
+        and launch.accepted < replaced[launch.host] < launch.ended
+        for launch in release.traffic.launches.values()
+    )
 
 
 def test_an_owner_cut_off_from_hosts_and_then_from_all_but_hosts_does_no_harm(tmp_path):
-    orders = ("at 1 campaign r1 h01,h02,h03 most=1\nat 2 cut owner:campaign from hosts for 3\n"
-              "at 7 cut owner:campaign from c1,c2,c3 for 5\n")
+    orders = (
+        "at 1 campaign r1 h01,h02,h03 most=1\nat 2 cut owner:campaign from hosts for 3\n"
+        "at 7 cut owner:campaign from c1,c2,c3 for 5\n"
+    )
     release = Release(tmp_path, orders).play()
     assert release.standing.progress.ended == "done" and len(release.standing.progress.done) == 3
 
@@ -210,6 +225,7 @@
         async def stands():
             standing = await operator.standing()
             return not standing.progress.out and "operator" in standing.progress.stands
+
         await release.until(stands, 30)
         done = len((await operator.standing()).progress.done)
         assert 0 < done < 3
@@ -240,8 +256,9 @@
     told = {}
 
     def order(token):
-        return pb.DutyOrder(kind=pb.HOST_REPLACE, duty="duty/campaign", token=token, campaign="r1",
-                            host="h01", boot=7)
+        return pb.DutyOrder(
+            kind=pb.HOST_REPLACE, duty="duty/campaign", token=token, campaign="r1", host="h01", boot=7
+        )
 
     async def ask(token):
         told[token] = await tool.ordered(order(token))
@@ -259,11 +276,17 @@
 
 def test_day_files_name_faults_of_duty_verbs(tmp_path):
     (tmp_path / "cluster.hcl").write_text(CLUSTER)
-    lines = ["campaign r1 c1", "campaign r1 hosts mots=3", "campaign r1 hosts most=x", "hand placing", "loss", "jump h01 2"]
+    lines = [
+        "campaign r1 c1",
+        "campaign r1 hosts mots=3",
+        "campaign r1 hosts most=x",
+        "hand placing",
+        "loss",
+        "jump h01 2",
+    ]
     with pytest.raises(DayFault) as found:
         parse_day(DAY + "clock c1 9\n" + "\n".join(f"at 1 {line}" for line in lines), "f.day", tmp_path)
     assert len(found.value.lines) == len(lines) + 1, found.value.lines
-    (tmp_path / "cluster.hcl").write_text(CLUSTER[:CLUSTER.index("campaign {")])
+    (tmp_path / "cluster.hcl").write_text(CLUSTER[: CLUSTER.index("campaign {")])
     with pytest.raises(DayFault, match="no block campaign"):
         parse_day(DAY + "at 1 campaign r1 hosts", "f.day", tmp_path)
-
--- a/tests/test_store_and_settings.py
+++ b/tests/test_store_and_settings.py
@@ -35,6 +35,7 @@
 def test_a_life_number_is_kept_though_the_process_dies_at_once(tmp_path):
     import subprocess
     import sys
+
     code = f"import os; from linedeal.state import Store; Store({str(tmp_path)!r}).next_life(); os._exit(9)"
     subprocess.run([sys.executable, "-c", code], check=False)
     assert Store(tmp_path).next_life() == 2
@@ -46,7 +47,7 @@
     store.keep_list(1000.0, 7, (HOST,))
     version, (host,) = store.last_list(1060.0)
     assert version == 7 and host.age == 160.0 and host.free_memory is None
-    assert store.last_list(900.0)[1][0].age == 100.0      # the clock jumped back: no host grows younger
+    assert store.last_list(900.0)[1][0].age == 100.0  # the clock jumped back: no host grows younger
 
 
 def test_two_controllers_never_share_a_directory(tmp_path):
@@ -83,7 +84,8 @@
 
 def test_all_faults_are_named_at_once_with_block_and_nearest_key():
     with pytest.raises(ConfigFault) as caught:
-        parse_cluster("""
+        parse_cluster(
+            """
 cluster { 
   controlers = 3
   may_probe = "yes"
@@ -99,7 +101,9 @@
 }
 young "x" {
 }
-""", "f.hcl")
+""",
+            "f.hcl",
+        )
     assert caught.value.lines == [
         "f.hcl: cluster: unknown key controlers, the nearest known is controllers",
         "f.hcl: cluster: controllers is missing",
@@ -113,7 +117,8 @@
 
 def test_figures_that_cannot_be_are_named():
     with pytest.raises(ConfigFault) as caught:
-        parse_cluster("""
+        parse_cluster(
+            """
 cluster {
   controllers = 0
 }
@@ -129,7 +134,9 @@
 limits {
   held = 0
 }
-""", "f.hcl")
+""",
+            "f.hcl",
+        )
     assert caught.value.lines == [
         "f.hcl: cluster: controllers is 0, at least 1 is needed",
         "f.hcl: kind k: cores is 0, over 0 is needed",
@@ -140,9 +147,14 @@
     ]
 
 
-@pytest.mark.parametrize("text, said", [
-    ("cluster {\n x = \n}", "f.hcl: line 2: not HCL"), ("cluster = 3", "f.hcl: cluster: is a block, not a value"),
-    ("x = " + "[" * 5000 + "]" * 5000, "f.hcl: not HCL: nested too deep")])
+@pytest.mark.parametrize(
+    "text, said",
+    [
+        ("cluster {\n x = \n}", "f.hcl: line 2: not HCL"),
+        ("cluster = 3", "f.hcl: cluster: is a block, not a value"),
+        ("x = " + "[" * 5000 + "]" * 5000, "f.hcl: not HCL: nested too deep"),
+    ],
+)
 def test_what_is_no_hcl_is_one_plain_line(text, said):
     with pytest.raises(ConfigFault) as caught:
         parse_cluster(text, "f.hcl")
@@ -151,9 +163,12 @@
 
 def test_a_day_names_all_its_faults():
     with pytest.raises(DayFault) as caught:
-        parse_day("cluster examples/cluster.hcl\ncontrollers 3\nhosts 2 kind std\nhosts 1 kind lead\n"
-                  "load course-reader 2 cups=3\nload poster 1\nat 3 kill h09 for 2\nat 4 mute h01\n"
-                  "at 5 dance h01\nat x kill h01\nat 6 kill\nhabit starts=a", "d.day")
+        parse_day(
+            "cluster examples/cluster.hcl\ncontrollers 3\nhosts 2 kind std\nhosts 1 kind lead\n"
+            "load course-reader 2 cups=3\nload poster 1\nat 3 kill h09 for 2\nat 4 mute h01\n"
+            "at 5 dance h01\nat x kill h01\nat 6 kill\nhabit starts=a",
+            "d.day",
+        )
     assert caught.value.lines == [
         "d.day: line 5: unknown figure cups",
         "d.day: line 12: invalid literal for int() with base 10: 'a'",
@@ -170,6 +185,7 @@
 
 def test_check_config_says_it_on_the_command_line(tmp_path, capsys):
     from typer.testing import CliRunner
+
     assert CliRunner().invoke(app, ["check-config", "examples/cluster.hcl"]).exit_code == 0
     bad = tmp_path / "bad.hcl"
     bad.write_text("cluster {\n}\n")
@@ -195,8 +211,10 @@
         store.db.execute(statement)
     for number, verdict in ((1, None), (2, "placed")):
         job = msgspec.msgpack.encode(api.Job(f"c.1.{number}", "feed", "", "s", 1.0, 1.0, 9.0))
-        store.db.execute("INSERT INTO jobs VALUES (?, 's', ?, ?, ?, 106.0, ?, 'a', ?)",
-                         (f"c.1.{number}", f"k{number}", job, zlib.crc32(job), verdict, 101.0 if verdict else None))
+        store.db.execute(
+            "INSERT INTO jobs VALUES (?, 's', ?, ?, ?, 106.0, ?, 'a', ?)",
+            (f"c.1.{number}", f"k{number}", job, zlib.crc32(job), verdict, 101.0 if verdict else None),
+        )
     store.db.execute("INSERT INTO launches VALUES (1, 7, 'c.1.1', 'a', 5, 100.0, 0)")
     store.put("format", 1)
     store.close()
@@ -205,11 +223,15 @@
 def test_a_store_of_the_format_before_is_brought_up(tmp_path):
     # guards against an upgrade that forgets what is owed
     old_store(tmp_path)
-    for _ in range(2):      # and once only
+    for _ in range(2):  # and once only
         store = Store(tmp_path)
         found = Journal(store).read(102.0, 60.0)
-        assert [(job.key, job.expires_in, job.launches[0].sent_ago) for job in found.open] == [("k1", 4.0, 2.0)]
-        assert [(kept.key, kept.stage, kept.host, kept.follow) for kept in found.answers] == [("k2", "PLACED", "a", False)]
+        assert [(job.key, job.expires_in, job.launches[0].sent_ago) for job in found.open] == [
+            ("k1", 4.0, 2.0)
+        ]
+        assert [(kept.key, kept.stage, kept.host, kept.follow) for kept in found.answers] == [
+            ("k2", "PLACED", "a", False)
+        ]
         assert store.get("format", int) == upgrade.FORMAT
         store.close()
 
@@ -228,19 +250,27 @@
 def test_a_torn_page_is_a_plain_message(tmp_path):
     store = Store(tmp_path)
     journal = Journal(store, spare=1 << 16)
-    journal.write(1.0, 1, [do.Take(1, f"k{n}", f"c.1.{n}", "s", api.Job(f"c.1.{n}", "feed", "", "s", 1.0, 1.0, 9.0), 6.0)
-                           for n in range(300)])
+    journal.write(
+        1.0,
+        1,
+        [
+            do.Take(1, f"k{n}", f"c.1.{n}", "s", api.Job(f"c.1.{n}", "feed", "", "s", 1.0, 1.0, 9.0), 6.0)
+            for n in range(300)
+        ],
+    )
     store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     store.close()
     whole = (tmp_path / "controller.db").read_bytes()
-    for at in range(4096, len(whole), 4096):        # each page but the first, torn in its middle or from its start
+    for at in range(4096, len(whole), 4096):  # each page but the first, torn in its middle or from its start
         for begin in (0, 2048):
-            (tmp_path / "controller.db").write_bytes(whole[:at + begin] + b"\xff" * 2048 + whole[at + begin + 2048:])
+            (tmp_path / "controller.db").write_bytes(
+                whole[: at + begin] + b"\xff" * 2048 + whole[at + begin + 2048 :]
+            )
             store = None
             try:
                 store = Store(tmp_path)
                 found = Journal(store, spare=1 << 16).read(2.0, 60.0)
-                assert len(found.open) == 300      # what was torn held nothing
+                assert len(found.open) == 300  # what was torn held nothing
             except StoreFault as error:
                 assert "controller.db: " in str(error) and "\n" not in str(error)
             finally:
@@ -254,21 +284,32 @@
     store.keep_clock(first.base)
     journal = Journal(store, spare=1 << 16)
     job = api.Job("c.1.1", "mail", "", "s", 1.0, 1.0, 9.0)
-    journal.write(first.at(500.0), 1, [do.Take(1, "k", job.id, "s", job, 60.0),
-                                       do.SendLaunch("a", 1, job, 3.0, 5, True)])
+    journal.write(
+        first.at(500.0),
+        1,
+        [do.Take(1, "k", job.id, "s", job, 60.0), do.SendLaunch("a", 1, job, 3.0, 5, True)],
+    )
     assert journal.last_written() == 10_000.0
     for machine, monotonic, time_of_day, ago in (
-            ("m", 502.0, 10_002.0, 2.0), ("m", 502.0, 6_400.0, 2.0),        # set back by an hour: nothing changes
-            ("n", 5.0, 10_030.0, 30.0), ("n", 5.0, 6_400.0, float("inf"))):     # after a start of the machine it does
+        ("m", 502.0, 10_002.0, 2.0),
+        ("m", 502.0, 6_400.0, 2.0),  # set back by an hour: nothing changes
+        ("n", 5.0, 10_030.0, 30.0),
+        ("n", 5.0, 6_400.0, float("inf")),
+    ):  # after a start of the machine it does
         clock = steady.go_on(store.clock(), machine, monotonic, time_of_day, journal.last_written())
         (found,) = journal.read(clock.at(monotonic), 60.0, clock.doubt).open
         assert found.launches[0].sent_ago == ago and found.expires_in <= 60.0
     store.close()
 
 
-@pytest.mark.parametrize("text, said", [
-    ("journal {\n most = 5\n}\n", "journal: most is 5"), ("journal {\n spare = 0\n}\n", "journal: spare is 0"),
-    ("journal {\n answers_kept = 0\n}\n", "journal: answers_kept is 0")])
+@pytest.mark.parametrize(
+    "text, said",
+    [
+        ("journal {\n most = 5\n}\n", "journal: most is 5"),
+        ("journal {\n spare = 0\n}\n", "journal: spare is 0"),
+        ("journal {\n answers_kept = 0\n}\n", "journal: answers_kept is 0"),
+    ],
+)
 def test_faulty_bounds_of_the_journal_are_named(text, said):
     with pytest.raises(ConfigFault, match=said):
         parse_cluster(PLAIN + text)
@@ -296,14 +337,35 @@
 BIG = "9" * 400
 
 
-@pytest.mark.parametrize("block, line", [
-    ("cluster", f"controllers = {BIG}"), ("cluster", "controllers = " + BIG), ("cluster", f"accepts_cores = {BIG}.0"),
-    ("cluster", "accepts_memory = 1e-400"), ("cluster", f"host_price = {BIG}.0"), ("cluster", "max_launches = " + "9" * 30),
-    ("kind", f"cores = {BIG}.0"), ("kind", "memory = " + BIG), ("offering", f"expiry = {BIG}.0"),
-    ("offering", f"calm = {BIG}.0"), ("offering", f"fade = {BIG}.0"), ("offering", f"value = {BIG}.0"),
-    ("customer", f"cores = {BIG}.0"), ("limits", f"tick = {BIG}.0"), ("limits", "tick = 3600"), ("limits", f"hold = {BIG}.0"),
-    ("limits", f"held = {BIG}"), ("limits", "work = 1048576"), ("limits", f"client_idle = {BIG}.0"), ("young", f"span = {BIG}.0"), ("young", f"time = {BIG}.0"),
-    ("rules", f"answer_slack = {BIG}.0"), ("journal", f"answers_kept = {BIG}.0"), ("journal", "most = " + BIG)])
+@pytest.mark.parametrize(
+    "block, line",
+    [
+        ("cluster", f"controllers = {BIG}"),
+        ("cluster", "controllers = " + BIG),
+        ("cluster", f"accepts_cores = {BIG}.0"),
+        ("cluster", "accepts_memory = 1e-400"),
+        ("cluster", f"host_price = {BIG}.0"),
+        ("cluster", "max_launches = " + "9" * 30),
+        ("kind", f"cores = {BIG}.0"),
+        ("kind", "memory = " + BIG),
+        ("offering", f"expiry = {BIG}.0"),
+        ("offering", f"calm = {BIG}.0"),
+        ("offering", f"fade = {BIG}.0"),
+        ("offering", f"value = {BIG}.0"),
+        ("customer", f"cores = {BIG}.0"),
+        ("limits", f"tick = {BIG}.0"),
+        ("limits", "tick = 3600"),
+        ("limits", f"hold = {BIG}.0"),
+        ("limits", f"held = {BIG}"),
+        ("limits", "work = 1048576"),
+        ("limits", f"client_idle = {BIG}.0"),
+        ("young", f"span = {BIG}.0"),
+        ("young", f"time = {BIG}.0"),
+        ("rules", f"answer_slack = {BIG}.0"),
+        ("journal", f"answers_kept = {BIG}.0"),
+        ("journal", "most = " + BIG),
+    ],
+)
 def test_extreme_figures_are_one_plain_line(block, line):
     key = line.split()[0]
     if f"\n{block} " in "\n" + SMALL:
@@ -316,13 +378,19 @@
     with pytest.raises(ConfigFault) as caught:
         parse_cluster(text)
     assert all(len(said) < 200 and "\n" not in said for said in caught.value.lines), caught.value.lines
-    assert any(key in said and said.startswith(f"cluster.hcl: {block}") for said in caught.value.lines), caught.value.lines
-
-
-@pytest.mark.parametrize("line, said", [
-    ('group = "zone"', "offering feed: group is for labelled offerings, this one is irreversible"),
-    ("window = 4", "offering feed: window is for labelled offerings, this one is irreversible"),
-    ("most = 2", "offering feed: most is for offerings with a spread")])
+    assert any(key in said and said.startswith(f"cluster.hcl: {block}") for said in caught.value.lines), (
+        caught.value.lines
+    )
+
+
+@pytest.mark.parametrize(
+    "line, said",
+    [
+        ('group = "zone"', "offering feed: group is for labelled offerings, this one is irreversible"),
+        ("window = 4", "offering feed: window is for labelled offerings, this one is irreversible"),
+        ("most = 2", "offering feed: most is for offerings with a spread"),
+    ],
+)
 def test_what_does_not_fit_its_offering_is_named_and_not_dropped(line, said):
     with pytest.raises(ConfigFault, match=said):
         parse_cluster(SMALL.replace('effect = "irreversible"', f'effect = "irreversible"\n  {line}'))
@@ -348,12 +416,13 @@
 
 def test_a_file_that_changes_while_it_is_read_is_not_believed(tmp_path, monkeypatch):
     path = tmp_path / "cluster.hcl"
-    path.write_text(SMALL[:SMALL.index("customer")])     # sound as far as it goes
+    path.write_text(SMALL[: SMALL.index("customer")])  # sound as far as it goes
     parse = settings_cluster.parse_cluster
 
     def slowly(text, name):
         path.write_text(SMALL)
         return parse(text, name)
+
     monkeypatch.setattr(settings_cluster, "parse_cluster", slowly)
     with pytest.raises(ConfigFault, match="changed while it was read"):
         settings_cluster.read_cluster(path)
@@ -367,9 +436,25 @@
     store.close()
     before = {path.name: path.read_bytes() for path in (tmp_path / "state").iterdir()}
     (tmp_path / "cluster.hcl").write_text(SMALL[:-30])
-    done = subprocess.run([sys.executable, "-m", "linedeal", "controller", "--name", "c", "--cluster",
-                           tmp_path / "cluster.hcl", "--discovery", "127.0.0.1:1", "--state", tmp_path / "state"],
-                          capture_output=True, text=True, timeout=30)
+    done = subprocess.run(
+        [
+            sys.executable,
+            "-m",
+            "linedeal",
+            "controller",
+            "--name",
+            "c",
+            "--cluster",
+            tmp_path / "cluster.hcl",
+            "--discovery",
+            "127.0.0.1:1",
+            "--state",
+            tmp_path / "state",
+        ],
+        capture_output=True,
+        text=True,
+        timeout=30,
+    )
     assert done.returncode == 1 and len(done.stderr.strip().splitlines()) == 1, done
     assert {path.name: path.read_bytes() for path in (tmp_path / "state").iterdir()} == before
     store = Store(tmp_path / "state")
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -16,8 +16,8 @@
 from tests.processes import Processes
 
 pytestmark = pytest.mark.anyio
-COLD = 8.0              # seconds for which a host that has started is cold
-GONE_WITHIN = 0.1       # seconds after its client has gone in which a launch may still arrive
+COLD = 8.0  # seconds for which a host that has started is cold
+GONE_WITHIN = 0.1  # seconds after its client has gone in which a launch may still arrive
 
 
 @pytest.fixture
@@ -43,14 +43,25 @@
 
 
 def entry(name, host, state="SERVING", started=0):
-    return {"id": name, "addr": "127.0.0.1:%d" % host.port, "kind": "std", "zone": "z", "cell": 0, "state": state,
-            "started_ms": started, "unasked": [36, 80]}
+    return {
+        "id": name,
+        "addr": "127.0.0.1:%d" % host.port,
+        "kind": "std",
+        "zone": "z",
+        "cell": 0,
+        "state": state,
+        "started_ms": started,
+        "unasked": [36, 80],
+    }
 
 
 def settings(controllers, **rules):
-    return SETUP | {"fleet_size": controllers, "permissions": SETUP["permissions"] | {"may_probe": False},
-                    "domain": SETUP["domain"] | {"young_limit": rules.pop("young_limit", 94.0)},
-                    "rules": SETUP["rules"] | rules}
+    return SETUP | {
+        "fleet_size": controllers,
+        "permissions": SETUP["permissions"] | {"may_probe": False},
+        "domain": SETUP["domain"] | {"young_limit": rules.pop("young_limit", 94.0)},
+        "rules": SETUP["rules"] | rules,
+    }
 
 
 class Recorder(Host):
@@ -91,7 +102,7 @@
 
         for n, process in enumerate(fleet):
             await give(process, 24 if n % 3 == 0 else 3)
-        await anyio.sleep(span + 0.2)       # past the first span, in which they send to no young host in any case
+        await anyio.sleep(span + 0.2)  # past the first span, in which they send to no young host in any case
         began = time.monotonic()
         bus.tell(entry("cold", cold, started=int(time.time() * 1000)))
         await anyio.sleep(1.2)
@@ -103,9 +114,11 @@
         times = [at for at, _ in cold.came if at < began + COLD]
         most = most_in_a_window(times, span)
         bound = limit + 2 * math.sqrt(limit) + 2
-        print(f"{controllers} controllers, N {limit}: {len(times)} arrivals, {most} in the fullest {span} s, bound {bound:.1f}")
+        print(
+            f"{controllers} controllers, N {limit}: {len(times)} arrivals, {most} in the fullest {span} s, bound {bound:.1f}"
+        )
         assert most <= bound
-        assert len(times) >= min(limit, 8)      # and it is used
+        assert len(times) >= min(limit, 8)  # and it is used
 
 
 async def test_nothing_is_launched_for_clients_that_have_gone(tmp_path):
@@ -115,7 +128,7 @@
         chance = random.random()
         if chance < 0.5:
             await stream.send(release(frame.task, 34, "nc"))
-        return chance < 0.6     # of the rest one in five has no answer
+        return chance < 0.6  # of the rest one in five has no answer
 
     recorders = {f"h{n}": Recorder(does) for n in range(12)}
     async with place(tmp_path, recorders) as (bus, processes, tasks):
@@ -145,9 +158,15 @@
         await anyio.sleep(0.5)
         came = [(at, task) for host in recorders.values() for at, task in host.came]
         late = sorted(at - gone[task] for at, task in came if at > gone[task])
-        print(f"{len(gone)} leavers, {len(came)} launches, {len(late)} of them after their client had gone"
-              + (f": median {late[len(late) // 2] * 1000:.1f} ms, p99 {late[int(len(late) * 0.99)] * 1000:.1f} ms, "
-                 f"greatest {late[-1] * 1000:.1f} ms" if late else ""))
+        print(
+            f"{len(gone)} leavers, {len(came)} launches, {len(late)} of them after their client had gone"
+            + (
+                f": median {late[len(late) // 2] * 1000:.1f} ms, p99 {late[int(len(late) * 0.99)] * 1000:.1f} ms, "
+                f"greatest {late[-1] * 1000:.1f} ms"
+                if late
+                else ""
+            )
+        )
         assert len(gone) == 3000 and len(came) > 2000
         assert not late or late[-1] <= GONE_WITHIN
 
@@ -170,7 +189,9 @@
     recorders = {f"h{n}": Recorder() for n in range(70)}
     async with place(tmp_path, recorders, Down()) as (bus, processes, tasks):
         bus.tell(entry("h0", recorders["h0"]), full=True)
-        process = await processes.start("n0", bus.address, bus.known(), settings(1), sockets=most, most_files=most)
+        process = await processes.start(
+            "n0", bus.address, bus.known(), settings(1), sockets=most, most_files=most
+        )
         worker = await processes.client(process)
         await worker.setup("%016x" % 1)
         await worker.until("answer", "%016x" % 1)
@@ -180,12 +201,17 @@
             idle.append(stream)
             if n % 2:
                 await Client(stream).send("ping", "%016x" % 9, cause=0)
-        await anyio.sleep(0.6)                          # they have had their time to speak
-        fresh = await processes.client(process)         # accepted, and answered on the host that is known
+        await anyio.sleep(0.6)  # they have had their time to speak
+        fresh = await processes.client(process)  # accepted, and answered on the host that is known
         await fresh.setup("%016x" % 2)
         await fresh.until("answer", "%016x" % 2)
-        bus.up = True                                   # discovery is back: 69 hosts to dial, idle clients come on
-        bus.tell(*(entry(name, host, "SERVING" if name != "h0" else "DRAINING") for name, host in recorders.items()))
+        bus.up = True  # discovery is back: 69 hosts to dial, idle clients come on
+        bus.tell(
+            *(
+                entry(name, host, "SERVING" if name != "h0" else "DRAINING")
+                for name, host in recorders.items()
+            )
+        )
         for n in range(10, 340):
             await fresh.setup("%016x" % n, service=f"s{n}", cores=12)
             if n % 8 == 0:
@@ -193,14 +219,32 @@
         for n in range(10, 340):
             await fresh.until("answer", "%016x" % n)
         assert sum(bool(host.came) for host in recorders.values()) >= 60
-        assert not process.said("fault") and not any("Too many open files" in str(line) for line in process.log)
+        assert not process.said("fault") and not any(
+            "Too many open files" in str(line) for line in process.log
+        )
         assert len(os.listdir(f"/proc/{process.child.pid}/fd")) < most
 
 
-async def test_nine_in_ten_restarted_controllers_are_ready_in_time_on_a_starved_core_without_discovery(tmp_path):
-    hosts_of = [{"id": f"s{n}", "addr": f"127.0.0.1:{20000 + n}", "kind": "std", "zone": "z", "cell": n // 4,
-                 "state": "SERVING", "started_ms": 0, "unasked": [36, 80]} for n in range(400)]
-    known = {"offset": 1, "batch": [{"offset": 1, "topology": {"version": 1, "full": True, "servers": hosts_of}}]}
+async def test_nine_in_ten_restarted_controllers_are_ready_in_time_on_a_starved_core_without_discovery(
+    tmp_path,
+):
+    hosts_of = [
+        {
+            "id": f"s{n}",
+            "addr": f"127.0.0.1:{20000 + n}",
+            "kind": "std",
+            "zone": "z",
+            "cell": n // 4,
+            "state": "SERVING",
+            "started_ms": 0,
+            "unasked": [36, 80],
+        }
+        for n in range(400)
+    ]
+    known = {
+        "offset": 1,
+        "batch": [{"offset": 1, "topology": {"version": 1, "full": True, "servers": hosts_of}}],
+    }
     async with place(tmp_path, {}) as (bus, processes, tasks):
         core = {min(os.sched_getaffinity(0))}
         took = []
--- a/tests/watched.py
+++ b/tests/watched.py
@@ -28,10 +28,23 @@
         self.log += [(now, effect) for effect in effects]
         return effects
 
-    def ask(self, now, offering="web", key="k", client=1, customer="", service="s", cores=1.0, memory=1.0, wait=0.0,
-            session="", **rest):
-        return self.turn(now, on.Submitted(client, key, offering, customer, service, cores, memory, wait, session,
-                                           **rest))
+    def ask(
+        self,
+        now,
+        offering="web",
+        key="k",
+        client=1,
+        customer="",
+        service="s",
+        cores=1.0,
+        memory=1.0,
+        wait=0.0,
+        session="",
+        **rest,
+    ):
+        return self.turn(
+            now, on.Submitted(client, key, offering, customer, service, cores, memory, wait, session, **rest)
+        )
 
     def yes(self, now, sent):
         """The host accepts a launch, and its frame has left."""
