--- a/linedeal/__main__.py
+++ b/linedeal/__main__.py
@@ -1,3 +1,5 @@
+"""Runs the command line: `python -m linedeal`."""
+
 from linedeal.cli import main
 
 main()
