--- a/benchmarks/controller_pace.py
+++ b/benchmarks/controller_pace.py
@@ -197,17 +197,21 @@
             rng.choice((1, 2, 4)),
             now + 10,
         )
-        actions = list(module.handle(now, api.JobArrived(job))) + list(module.settle(now))
+        actions = list(module.handle(now, api.JobArrived(job))) + list(module.schedule_waiting(now))
         for action in actions:
             if isinstance(action, api.Launch):
-                module.handle(now, api.Confirmed(action.job, 1, action.host))
-                module.handle(now, api.Noted(action.job, action.host, "started", 1.0))
+                module.handle(now, api.LaunchConfirmed(action.job, 1, action.host))
+                module.handle(now, api.MetricReported(action.job, action.host, "started", 1.0))
                 ends.append((now + LIFE, action))
             elif isinstance(action, api.Probe):
-                module.handle(now, api.Probed(action.host, True, {"idle_cores": 40.0, "idle_memory": 200.0}))
+                module.handle(
+                    now, api.HostProbed(action.host, True, {"idle_cores": 40.0, "idle_memory": 200.0})
+                )
         while ends and ends[0][0] <= now:
             _, ended = ends.pop(0)
-            module.handle(now, api.Ended(ended.job, 1, ended.host, api.Result.DONE, api.Why.UNTOLD, True))
+            module.handle(
+                now, api.LaunchEnded(ended.job, 1, ended.host, api.Result.DONE, api.Reason.UNTOLD, True)
+            )
     return jobs / (time.process_time() - begun)
 
 
--- a/linedeal/audit/rules.py
+++ b/linedeal/audit/rules.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from linedeal.audit.traffic import NEVER, JobSeen, LaunchSeen, Traffic
-from linedeal.interface import Effect, Place
+from linedeal.interface import Effect, TopologyLevel
 from linedeal.protocol import pb
 from linedeal.settings.records import Cluster
 
@@ -148,14 +148,16 @@
                 launch.t,
                 f"{job.id} (irreversible) was sent to {launch.host}, and may have run at {first.host}",
             )
-        elif group_of(traffic, offering.group, launch.host) != group_of(traffic, offering.group, first.host):
+        elif group_of(traffic, offering.dedup_level, launch.host) != group_of(
+            traffic, offering.dedup_level, first.host
+        ):
             yield Breach(
                 2,
                 launch.t,
                 f"{job.id} (labelled) was sent to {launch.host}, outside the group of "
                 f"{first.host} where it may have run",
             )
-        elif launch.t > first.t + offering.window + JITTER:
+        elif launch.t > first.t + offering.dedup_window + JITTER:
             yield Breach(
                 2,
                 launch.t,
@@ -165,7 +167,7 @@
     for t, verdict in job.answers + job.told[:1]:
         may_have_run = [launch for launch in job.launches if launch.never_ran > t]
         harmless = offering.effect is Effect.REDOABLE or (
-            offering.effect is Effect.LABELLED and offering.group is Place.ALL
+            offering.effect is Effect.LABELLED and offering.dedup_level is TopologyLevel.ALL
         )
         if verdict == pb.REJECTED and may_have_run and not harmless:
             yield Breach(
@@ -176,9 +178,9 @@
             )
 
 
-def group_of(traffic, place: Place, host: str):
+def group_of(traffic, place: TopologyLevel, host: str):
     zone, cell = traffic.places.get(host, ("", 0))
-    return {Place.ALL: "all", Place.ZONE: zone, Place.CELL: cell}.get(place, host)
+    return {TopologyLevel.ALL: "all", TopologyLevel.ZONE: zone, TopologyLevel.CELL: cell}.get(place, host)
 
 
 # -- rule 3
@@ -212,19 +214,23 @@
     by_boot: dict[tuple, list[LaunchSeen]] = {}
     for launch in traffic.launches.values():
         booted = traffic.booted.get((launch.host, launch.boot))
-        if booted is not None and booted <= launch.t < booted + settings.cold_time and not launch.held_back:
+        if (
+            booted is not None
+            and booted <= launch.t < booted + settings.slow_start_duration
+            and not launch.held_back
+        ):
             by_boot.setdefault((launch.host, launch.boot), []).append(launch)
     for (host, boot), sent in sorted(by_boot.items()):
         sent.sort(key=lambda launch: launch.t)
         times = [launch.t for launch in sent]
         for end, launch in enumerate(sent):
-            span = sent[bisect_right(times, launch.t - settings.young_span) : end + 1]
+            span = sent[bisect_right(times, launch.t - settings.slow_start_window) : end + 1]
             told = [l for l in span if l.t >= boots_told(traffic, l).get(boot, NEVER)]
-            if len(span) > settings.young_limit and 3 * len(told) >= 2 * len(span):
+            if len(span) > settings.slow_start_limit and 3 * len(told) >= 2 * len(span):
                 yield Breach(
                     4,
                     launch.t,
-                    f"{host} was offered {len(span)} jobs within {settings.young_span:g} s, "
+                    f"{host} was offered {len(span)} jobs within {settings.slow_start_window:g} s, "
                     f"{launch.t - traffic.booted[host, boot]:.1f} s after its start",
                 )
                 break
@@ -242,7 +248,7 @@
     spread = {
         name: offering
         for name, offering in cluster.settings.offerings.items()
-        if offering.place is not Place.NONE
+        if offering.spread_level is not TopologyLevel.NONE
     }
     held: dict[tuple, list[tuple[float, float, LaunchSeen]]] = {}
     for launch in traffic.launches.values():
@@ -257,12 +263,12 @@
                 launch.controller,
                 life,
                 launch.job.service,
-                group_of(traffic, offering.place, launch.host),
+                group_of(traffic, offering.spread_level, launch.host),
             )
             held.setdefault(where, []).append((t, over_at(traffic, launch), launch))
     for where, counted in sorted(held.items(), key=lambda item: str(item[0])):
         for t, _, launch in counted:
-            most = spread[launch.job.offering].most
+            most = spread[launch.job.offering].max_per_domain
             if launch.t != t:
                 continue  # found as it ran: nothing was sent
             there = [l for since, until, l in counted if since <= t and until > t + JITTER or l is launch]
--- a/linedeal/controller/translate.py
+++ b/linedeal/controller/translate.py
@@ -16,13 +16,13 @@
     pb.STOPPED: api.Result.STOPPED,
 }
 WHYS = {
-    pb.NO_CORES: api.Why.CORES,
-    pb.NO_MEMORY: api.Why.MEMORY,
-    pb.QUEUE_FULL: api.Why.QUEUE,
-    pb.NOT_HERE: api.Why.NOT_HERE,
-    pb.EVICTED: api.Why.EVICTED,
-    pb.PUSHED_OUT: api.Why.PUSHED_OUT,
-    pb.SENT_AWAY: api.Why.SENT_AWAY,
+    pb.NO_CORES: api.Reason.CORES,
+    pb.NO_MEMORY: api.Reason.MEMORY,
+    pb.QUEUE_FULL: api.Reason.QUEUE,
+    pb.NOT_HERE: api.Reason.NOT_HERE,
+    pb.EVICTED: api.Reason.EVICTED,
+    pb.PUSHED_OUT: api.Reason.PUSHED_OUT,
+    pb.SENT_AWAY: api.Reason.SENT_AWAY,
 }
 PHASES = {
     pb.QUEUED: on.Phase.QUEUED,
@@ -75,7 +75,7 @@
         job_of(item.job),
         PHASES.get(item.phase, on.Phase.ACCEPTED),
         RESULTS.get(item.outcome, api.Result.ERROR),
-        WHYS.get(item.reason, api.Why.UNTOLD),
+        WHYS.get(item.reason, api.Reason.UNTOLD),
         ran_of(item),
     )
 
@@ -107,7 +107,7 @@
             return on.Refused(
                 host,
                 launch_id(message.launch),
-                WHYS.get(message.reason, api.Why.UNTOLD),
+                WHYS.get(message.reason, api.Reason.UNTOLD),
                 message.detail[:200],
             )
         case pb.Started():
@@ -121,7 +121,7 @@
                 host,
                 launch_id(message.launch),
                 RESULTS.get(message.outcome, api.Result.ERROR),
-                WHYS.get(message.reason, api.Why.UNTOLD),
+                WHYS.get(message.reason, api.Reason.UNTOLD),
                 ran_of(message),
             )
         case pb.Report():
--- a/linedeal/engine/engine.py
+++ b/linedeal/engine/engine.py
@@ -137,7 +137,7 @@
                 self.out.append(do.OpenLink(host))
         if self.asking.waiting:
             self.timers.arm(self.asking.due, "asking", "")
-        self.act(self.module.settle(now))
+        self.act(self.module.schedule_waiting(now))
         for host in self.fleet.to_drop():
             self.fleet.drop(host)
             self.out.append(do.DropHost(host))
@@ -302,10 +302,10 @@
             launch.wanted = False
             self.stop(launch)
         if known:
-            self.tell(api.Withdrawn(job_id))
+            self.tell(api.JobWithdrawn(job_id))
         if launch is not None and not self.accounts_given:
             self.over(
-                launch, Result.STOPPED, api.Why.UNTOLD
+                launch, Result.STOPPED, api.Reason.UNTOLD
             )  # given up at the host, which says no more of it
 
     def client_left(self, event: on.ClientLeft) -> None:
@@ -446,22 +446,22 @@
             self.timers.arm(self.now + STRAY_KEPT, "stray", launch.id)
         else:
             self.forget(launch)
-        self.ended(launch, result, api.Why.UNTOLD)
+        self.ended(launch, result, api.Reason.UNTOLD)
 
     def stray_due(self, launch_id: on.LaunchId) -> None:
         launch = self.launches.get(launch_id)
         if launch is not None and launch.state is State.STRAY:
             self.forget(launch)
 
-    def ended(self, launch: Launch, result: Result, why: api.Why) -> None:
+    def ended(self, launch: Launch, result: Result, why: api.Reason) -> None:
         """Tells the module how the launch that it has out has ended."""
         taken = self.taken.get(launch.job.id)
         closed = taken is None
         if taken is not None and result not in NEVER_RAN:
             taken.risk = taken.risk or (launch.host, launch.sent)
-        self.tell(api.Ended(launch.job.id, launch.id.number, launch.host, result, why, closed))
+        self.tell(api.LaunchEnded(launch.job.id, launch.id.number, launch.host, result, why, closed))
 
-    def over(self, launch: Launch, result: Result, why: api.Why) -> None:
+    def over(self, launch: Launch, result: Result, why: api.Reason) -> None:
         stray = launch.state is State.STRAY
         if launch.state is State.HELD and not self.accounts_given:
             self.out.append(do.PlacedOver(launch.job.id, launch.host, launch.id.number, result))
@@ -481,7 +481,7 @@
         if launch.state is not State.OUT:
             return  # known already, or its host is about to hear that it is given up
         launch.state = State.HELD
-        self.tell(api.Confirmed(launch.job.id, launch.id.number, launch.host))
+        self.tell(api.LaunchConfirmed(launch.job.id, launch.id.number, launch.host))
         if launch.job.id in self.taken:
             self.answer(launch.job.id, do.Verdict.PLACED, launch.host, launch.id)
         elif not launch.wanted:
@@ -526,7 +526,7 @@
         self.said_yes(launch)
         if launch.state is State.HELD and not launch.started:
             launch.started = True
-            self.tell(api.Noted(launch.job.id, event.host, "started", 1.0))
+            self.tell(api.MetricReported(launch.job.id, event.host, "started", 1.0))
             self.sessions.started(launch.job.id, launch.id)
 
     def refused(self, event: on.Refused) -> None:
@@ -546,23 +546,23 @@
     def used(self, event: on.Used) -> None:
         launch = self.find(event.host, event.launch)
         if launch is not None and launch.state is State.HELD:
-            self.tell(api.Noted(launch.job.id, event.host, "cores", event.cores))
-            self.tell(api.Noted(launch.job.id, event.host, "memory", event.memory))
+            self.tell(api.MetricReported(launch.job.id, event.host, "cores", event.cores))
+            self.tell(api.MetricReported(launch.job.id, event.host, "memory", event.memory))
 
     def served(self, event: on.Served) -> None:
         launch = self.find(event.host, event.launch)
         if launch is not None and launch.state is State.HELD:
             if event.share >= 0:
-                self.tell(api.Noted(launch.job.id, event.host, "served", event.share))
+                self.tell(api.MetricReported(launch.job.id, event.host, "served", event.share))
             if event.host_memory >= 0:
-                self.tell(api.Noted(launch.job.id, event.host, "host_memory", event.host_memory))
+                self.tell(api.MetricReported(launch.job.id, event.host, "host_memory", event.host_memory))
 
     def told(self, event: on.Told) -> None:
         launch = self.find(event.host, event.launch)
         if launch is None or launch.state is not State.HELD:
             return
         launch.started = launch.started or event.what == "started"
-        self.tell(api.Noted(launch.job.id, event.host, event.what, event.value))
+        self.tell(api.MetricReported(launch.job.id, event.host, event.what, event.value))
 
     # -- what stands without having been launched in this life, where hosts give no account
 
@@ -607,7 +607,7 @@
         """What stood there, by launches made before then, is lost with the host."""
         for launch in list(record.launches.values()):
             if launch.state is State.HELD and launch.sent < before:
-                self.over(launch, Result.CUT, api.Why.UNTOLD)
+                self.over(launch, Result.CUT, api.Reason.UNTOLD)
 
     # -- probes
 
@@ -619,12 +619,12 @@
 
     def reported(self, event: on.Reported) -> None:
         if self.probes.pop(event.number, None) == event.host:
-            self.tell(api.Probed(event.host, True, dict(event.figures)))
+            self.tell(api.HostProbed(event.host, True, dict(event.figures)))
 
     def probe_due(self, number: int) -> None:
         host = self.probes.pop(number, None)
         if host is not None:
-            self.tell(api.Probed(host, False))
+            self.tell(api.HostProbed(host, False))
 
     # -- links
 
@@ -749,7 +749,7 @@
         for number in numbers:
             launch = self.launches.get(on.LaunchId(self.life, number))
             if launch is not None and launch.state is not State.HELD:
-                self.over(launch, result, api.Why.UNTOLD)
+                self.over(launch, result, api.Reason.UNTOLD)
 
     def fenced(self, event: on.Fenced) -> None:
         self.out.append(do.Halt(f"host {event.host}: {event.reason}"))
@@ -804,7 +804,7 @@
             if not record.link:
                 for launch in list(record.launches.values()):
                     if launch.state not in (State.OUT, State.RECALLED):
-                        self.over(launch, Result.CUT, api.Why.UNTOLD)
+                        self.over(launch, Result.CUT, api.Reason.UNTOLD)
 
     def list_failed(self, event: on.ListFailed) -> None:
         self.tell(api.ListLost())
@@ -894,7 +894,7 @@
     # -- timers
 
     def module_due(self, key: str) -> None:
-        self.tell(api.Woken(key))
+        self.tell(api.TimerFired(key))
 
     def asking_due(self, _) -> None:
         """Only wakes the turn, which asks."""
--- a/linedeal/engine/events.py
+++ b/linedeal/engine/events.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from linedeal.interface import Job, Mode, Result, Why
+from linedeal.interface import Job, Mode, Reason, Result
 
 
 class LaunchId(NamedTuple):
@@ -56,7 +56,7 @@
     job: Job
     phase: Phase
     result: Result = Result.DONE
-    why: Why = Why.UNTOLD
+    why: Reason = Reason.UNTOLD
     ran: Ran | None = None
 
 
@@ -238,7 +238,7 @@
 class Refused:
     host: str
     launch: LaunchId
-    why: Why
+    why: Reason
     detail: str = ""
 
 
@@ -271,13 +271,13 @@
     host: str
     launch: LaunchId
     result: Result
-    why: Why
+    why: Reason
     ran: Ran | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Told:
-    """One figure of a job that stands: `what` as in the interface's `Noted`."""
+    """One figure of a job that stands: `what` as in the interface's `MetricReported`."""
 
     host: str
     launch: LaunchId
--- a/linedeal/engine/launches.py
+++ b/linedeal/engine/launches.py
@@ -7,7 +7,7 @@
 from enum import Enum
 
 from linedeal.engine.events import Held, LaunchId, Phase, Ran
-from linedeal.interface import Effect, Job, Result, Why
+from linedeal.interface import Effect, Job, Reason, Result
 
 
 class State(Enum):
@@ -43,7 +43,7 @@
 
     phase: Phase
     result: Result = Result.DONE
-    why: Why = Why.UNTOLD
+    why: Reason = Reason.UNTOLD
 
 
 def cut(launch: Launch) -> Result | None:
--- a/linedeal/engine/ledger.py
+++ b/linedeal/engine/ledger.py
@@ -8,7 +8,7 @@
 from enum import Enum
 
 from linedeal.engine.events import LaunchId, Ran
-from linedeal.interface import Job, Result, Why
+from linedeal.interface import Job, Reason, Result
 
 
 class Stage(Enum):
@@ -119,11 +119,11 @@
         return entry
 
     def ended(
-        self, job: str, launch: LaunchId, now: float, result: Result, why: Why, ran: Ran | None
+        self, job: str, launch: LaunchId, now: float, result: Result, why: Reason, ran: Ran | None
     ) -> Entry | None:
         entry = self.of_launch(job, launch)
         if entry is None:
             return None
         entry.stage, entry.ended_at, entry.ran = ENDS.get(result, Stage.LOST), now, ran
-        entry.reason = "" if entry.stage is Stage.DONE or why is Why.UNTOLD else why.value
+        entry.reason = "" if entry.stage is Stage.DONE or why is Reason.UNTOLD else why.value
         return entry
--- a/linedeal/engine/recovery.py
+++ b/linedeal/engine/recovery.py
@@ -82,7 +82,7 @@
     irreversible job run twice."""
     if offering.effect is not Effect.LABELLED:
         return offering.effect.name
-    return f"{offering.effect.name} {offering.group.name} {offering.window:g}"
+    return f"{offering.effect.name} {offering.dedup_level.name} {offering.dedup_window:g}"
 
 
 def ran(launch: OldLaunch, accounts: dict[str, Account]) -> bool | None:
--- a/linedeal/engine/sessions.py
+++ b/linedeal/engine/sessions.py
@@ -156,7 +156,7 @@
         if entry.stage is not Stage.LATER:
             taken.left = max(0.0, entry.job.expiry - engine.now)
             if engine.pending.pop(entry.job.id, None) is None and not taken.returning:
-                engine.tell(api.Withdrawn(entry.job.id))
+                engine.tell(api.JobWithdrawn(entry.job.id))
             taken.returning = False
         entry.stage = Stage.HELD
         self.set_aside(entry, taken.left)
@@ -182,7 +182,7 @@
         known = waits and engine.pending.pop(job_id, None) is None and not engine.taken[job_id].returning
         engine.answer(job_id, do.Verdict.REJECTED if move is Move.REJECT else do.Verdict.WRITTEN_OFF)
         if known:
-            engine.tell(api.Withdrawn(job_id))
+            engine.tell(api.JobWithdrawn(job_id))
 
     # -- its course
 
@@ -199,7 +199,7 @@
         if entry is not None:
             self.keep_course(entry)
 
-    def ended(self, job_id: str, launch_id: on.LaunchId, result: api.Result, why: api.Why, ran) -> None:
+    def ended(self, job_id: str, launch_id: on.LaunchId, result: api.Result, why: api.Reason, ran) -> None:
         entry = self.ledger.ended(job_id, launch_id, self.engine.now, result, why, ran)
         if entry is not None:
             self.keep_course(entry)
@@ -223,7 +223,7 @@
         """The host has said what it holds: what an earlier life placed there and it does not name has been lost."""
         for entry in self.unaccounted.pop(host, ()):
             if entry.stage in AT_HOST and entry.job.id not in self.engine.by_job:
-                self.ended(entry.job.id, entry.launch, api.Result.CUT, api.Why.UNTOLD, None)
+                self.ended(entry.job.id, entry.launch, api.Result.CUT, api.Reason.UNTOLD, None)
 
     # -- telling
 
--- a/linedeal/interface.py
+++ b/linedeal/interface.py
@@ -14,7 +14,7 @@
     IRREVERSIBLE = "must never run twice"
 
 
-class Place(Enum):
+class TopologyLevel(Enum):
     """What a spread, or the group that knows a labelled job's repeats, is counted over."""
 
     NONE = "nothing"
@@ -43,7 +43,7 @@
     STOPPED = "called off"
 
 
-class Why(Enum):
+class Reason(Enum):
     """What the host said of a result."""
 
     UNTOLD = "nothing"
@@ -62,17 +62,17 @@
     expiry: float
     value: float
     effect: Effect
-    group: Place
-    window: float
+    dedup_level: TopologyLevel
+    dedup_window: float
     kind: str | None
-    calm: float
-    fade: float
-    place: Place
-    most: int
+    degradation_start: float
+    degradation_span: float
+    spread_level: TopologyLevel
+    max_per_domain: int
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
+class HostKind:
     cores: float
     memory: float
 
@@ -81,19 +81,19 @@
 class Settings:
     controllers: int
     offerings: dict[str, Offering]
-    kinds: dict[str, Kind]
+    kinds: dict[str, HostKind]
     quotas: dict[str, float]
     accepts_cores: float
     accepts_memory: float
     starts_confirmed: bool
     host_price: float
-    must_ask: bool
-    ask_within: float
+    must_subscribe: bool
+    subscription_timeout: float
     may_probe: bool
     max_launches: int
-    cold_time: float
-    young_limit: float
-    young_span: float
+    slow_start_duration: float
+    slow_start_limit: float
+    slow_start_window: float
 
 
 @dataclass(slots=True)
@@ -136,10 +136,10 @@
 
 @dataclass(frozen=True, slots=True)
 class JobArrived:
-    """`risk`: the host and time of an earlier launch, unknown to the module, that may have run."""
+    """`uncertain_launch`: the host and time of an earlier launch, unknown to the module, that may have run."""
 
     job: Job
-    risk: tuple[str, float] | None = None
+    uncertain_launch: tuple[str, float] | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -151,44 +151,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Confirmed:
+class LaunchConfirmed:
     job: str
     launch: int
     host: str
 
 
 @dataclass(frozen=True, slots=True)
-class Noted:
+class MetricReported:
     """`what` is started, cores, memory, served or host_memory."""
 
     job: str
     host: str
-    what: str
+    metric: str
     value: float
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class LaunchEnded:
     job: str
     launch: int
     host: str
     result: Result
-    why: Why
+    reason: Reason
     closed: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
+class JobWithdrawn:
     job: str
 
 
 @dataclass(frozen=True, slots=True)
-class Woken:
+class TimerFired:
     key: str
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class HostProbed:
     host: str
     answered: bool
     report: dict[str, float] = field(default_factory=dict)
@@ -201,8 +201,8 @@
 class Launch:
     job: str
     host: str
-    wait: float
-    leave: float = float("inf")  # seconds within which it has to leave, or must not leave any more
+    timeout: float
+    send_within: float = float("inf")  # seconds within which it has to leave, or must not leave any more
 
 
 @dataclass(frozen=True, slots=True)
--- a/linedeal/lab/baselines.py
+++ b/linedeal/lab/baselines.py
@@ -15,16 +15,16 @@
 class Baseline(Controller):
     def fit(self, track) -> list[tuple[float, object]]:
         """Room and host, of those that the gate allows and that are not known to be full."""
-        self.usual_load()
-        ask = track.job.cores, track.job.memory, *track.use()
+        self.refresh_averages()
+        ask = track.job.cores, track.job.memory, *track.usage()
         found = [
-            (self.room(ask, host), host)
+            (self.free_capacity(ask, host), host)
             for host in self.hosts.values()
-            if host.full_until <= self.now and self.allowed(track, host)
+            if host.full_until <= self.now and self.launch_allowed(track, host)
         ]
         return [pair for pair in found if pair[0] >= 0]
 
-    def choose(self, track):
+    def choose_host(self, track):
         fit = self.fit(track)
         return self.pick(fit, track) if fit else None
 
--- a/linedeal/lab/report.py
+++ b/linedeal/lab/report.py
@@ -107,8 +107,14 @@
             busy = sum(running.values()) / kinds[host].cores
             for other in running:
                 offering = settings.offerings[other.job.offering]
-                over = busy - offering.calm
-                part = 1.0 if over <= 0 else max(0.0, 1.0 - over / offering.fade) if offering.fade else 0.0
+                over = busy - offering.degradation_start
+                part = (
+                    1.0
+                    if over <= 0
+                    else max(0.0, 1.0 - over / offering.degradation_span)
+                    if offering.degradation_span
+                    else 0.0
+                )
                 served[other] += part * (t - last)
             last = t
             if cores is None:
--- a/linedeal/platform/hostlink.py
+++ b/linedeal/platform/hostlink.py
@@ -10,7 +10,7 @@
 
 from linedeal.engine import effects as do
 from linedeal.engine import events as on
-from linedeal.interface import Mode, Result, Why
+from linedeal.interface import Mode, Reason, Result
 from linedeal.loop import Inbox
 from linedeal.net import FrameError, Link, LinkLost, Net, parse_address, read_what_came, until_lost
 from linedeal.net.base import LOST, reason
@@ -18,7 +18,7 @@
 from linedeal.platform.descriptors import Descriptors
 from linedeal.platform.hosts import Code, Type
 from linedeal.settings.records import Limits
-from linedeal.wiresettings import NOTES, REASONS
+from linedeal.wiresettings import METRICS, REASONS
 
 LIFE = 1  # a start knows of no earlier one
 QUEUE = 512  # messages that wait for one host
@@ -34,7 +34,7 @@
 IDLE_TALK = 2000  # answers and releases on end that mean nothing, as second copies and unknown tasks
 IDLE_SHARE = 0.6  # of the idle time after which hosts close, after which we do
 WHY = dict(zip(("nc", "nm", "nq", "nh", "ev", "pre", "dr"), (REASONS[number] for number in range(1, 8))))
-NOTE_NAMES = dict(zip(("live", "c", "m", "s", "p"), (NOTES[number] for number in range(1, 6))))
+NOTE_NAMES = dict(zip(("live", "c", "m", "s", "p"), (METRICS[number] for number in range(1, 6))))
 FIRST_WORDS = frozenset((owners.REFUSED, owners.NEVER_LEFT, owners.FAILED))  # only ever before an answer
 ENDS = {owners.GIVEN_UP: Result.DONE, owners.ENDED_OTHERWISE: Result.STOPPED, owners.FAILED: Result.ERROR}
 
@@ -515,7 +515,7 @@
 
     def released(self, connection: Connection, frame: hosts.Frame):
         host, task, cause = self.listed.id, frame.task, frame.cause()
-        why = WHY.get(frame.text(Code.NAME), Why.UNTOLD)
+        why = WHY.get(frame.text(Code.NAME), Reason.UNTOLD)
         number = connection.out.get(task)
         stale = task in self.unsettled and cause not in FIRST_WORDS
         if stale and task not in self.stops and (cause == owners.ENDED_OTHERWISE or number is not None):
--- a/linedeal/policy.py
+++ b/linedeal/policy.py
@@ -1,5 +1,5 @@
 """Every decision of linedeal. Make a `Controller(settings, seed, now)`, carry out what `begin()` returns,
-feed each event to `handle(now, event)` and, after the last of that time, call `settle(now)`; carry out the
+feed each event to `handle(now, event)` and, after the last of that time, call `schedule_waiting(now)`; carry out the
 actions they return, in order. The types are in `linedeal/interface.py`, the design in `docs/design.md`.
 
 Mechanisms beside the design:
@@ -19,7 +19,7 @@
 from zlib import crc32
 
 from linedeal import interface as api
-from linedeal.interface import Effect, Mode, Place, Result, Why
+from linedeal.interface import Effect, Mode, Reason, Result, TopologyLevel
 
 ALPHA, BETA = 1.0, 2.0  # weights of hosts in use and of tazes alone
 TAZ_AT, TURTLE_AT = 0.9, 0.75  # share of the ask in use at which a service becomes a taz, and a turtle again
@@ -45,8 +45,14 @@
 YOUNG_SHARE, YOUNG_SPAN, SLOT = 0.8, 1.1, 0.1  # of a young host's offers; of its span; of that, a turn
 PATIENCE = 0.25  # share of an offering's expiry that a launch may take to be accepted
 USE_MOST = 4.0  # times its ask: what a job uses beyond that tells nothing of others
-SERVICES, CROWD = 4096, 2000  # services remembered (those without a job go first); our launches on one host
-TRIES, LOOKS = 100, 8000  # jobs, and hosts for them, looked at in one settling: others' events wait for it
+MAX_SERVICES, MAX_ENTRIES_PER_HOST = (
+    4096,
+    2000,
+)  # services remembered (those without a job go first); our launches on one host
+MAX_CHOICES, MAX_HOST_EVALUATIONS = (
+    100,
+    8000,
+)  # jobs, and hosts for them, looked at in one settling: others' events wait for it
 
 NEVER_RAN = (Result.TURNED_AWAY, Result.UNREACHABLE, Result.UNSENT)
 ROOM, RUNS, NEVER = "room", "runs", float("inf")
@@ -66,7 +72,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Track:
+class TrackedJob:
     """A job in this controller's care."""
 
     job: api.Job
@@ -77,7 +83,7 @@
     place: object = None  # ... and what counts it for the spread
     launches: int = 0
     erred: "Host" = None  # the host that first failed it
-    risk: tuple = None  # host and time of the first launch that may have run
+    uncertain_launch: tuple = None  # host and time of the first launch that may have run
     sent: float = 0.0
     answer_due: float = 0.0  # when a host that is well has answered
     confirmed: bool = False
@@ -86,7 +92,7 @@
     cores: float = 0.0  # in use by the last note
     memory: float = 0.0
 
-    def use(self):
+    def usage(self):
         job, service = self.job, self.service
         memory = job.memory * service.memory
         return self.cores or job.cores * service.cores, self.memory if self.memory > memory else memory
@@ -95,7 +101,7 @@
 @dataclass(slots=True, eq=False)
 class Host:
     entry: api.HostEntry
-    size: api.Kind
+    size: api.HostKind
     jobs: dict = field(default_factory=dict)  # launches without an outcome, by job id
     starting: int = 0  # how many wait for their start
     answer_due: float = NEVER  # earliest among those not confirmed
@@ -109,7 +115,9 @@
     silent_until: float = 0.0
     fails: int = 0
     refusals: int = 0  # in a row
-    ill: dict = field(default_factory=dict)  # by offering and customer: until when, after how many errors
+    ejections: dict = field(
+        default_factory=dict
+    )  # by offering and customer: until when, after how many errors
     sends: deque = field(default_factory=lambda: deque(maxlen=500))
     programs: dict = field(default_factory=dict)  # launches of each service; 0: its program may be kept
     probed: float = 0.0
@@ -126,7 +134,7 @@
             tazes += track.service.taz
             if not track.confirmed and track.answer_due < due:
                 due = track.answer_due
-            cores, memory = track.use()
+            cores, memory = track.usage()
             asked, asked_memory = asked + job.cores, asked_memory + job.memory
             used, used_memory = used + cores, used_memory + memory
         self.starting, self.tazes, self.answer_due = starting, tazes, due
@@ -135,18 +143,18 @@
 
 class Controller:
     def __init__(self, settings, seed, now):
-        self.s, self.random, late = settings, Random(seed), LATE_LIST * (1 - 1 / settings.controllers)
+        self.settings, self.random, late = settings, Random(seed), LATE_LIST * (1 - 1 / settings.controllers)
         self.now = self.begun = self.heard_list = self.load_due = self.came = now
-        self.hosts, self.tracks, self.services, self.waiting = {}, {}, {}, {}
+        self.hosts, self.tracked_jobs, self.services, self.waiting = {}, {}, {}, {}
         self.held = {customer: 0.0 for customer in settings.quotas}
-        self.usual = {name: Service(UNKNOWN_USE, UNKNOWN_MEMORY) for name in settings.offerings}
-        self.calm = min((o.calm for o in settings.offerings.values()), default=1.0) + CALM_MARGIN
+        self.offering_estimates = {name: Service(UNKNOWN_USE, UNKNOWN_MEMORY) for name in settings.offerings}
+        self.calm = min((o.degradation_start for o in settings.offerings.values()), default=1.0) + CALM_MARGIN
         self.gap = 1.0  # seconds between own jobs, lately
         self.bounds = settings.accepts_cores, settings.accepts_memory, late, self.calm
         self.use_ratio, self.mean_asked = (UNKNOWN_USE, UNKNOWN_USE), (0.5, 0.5)
-        self.serving = self.asks = 0  # hosts that take jobs; lists that failed in a row
+        self.serving_hosts = self.asks = 0  # hosts that take jobs; lists that failed in a row
         self.room_made, self.paced = False, NEVER  # paced: when the next slot of a young host comes
-        self.direct = self.most = TRIES  # jobs looked at as their events come, and in one settling
+        self.direct = self.most = MAX_CHOICES  # jobs looked at as their events come, and in one settling
         self.refused = None  # shapes that found no room in the settling that goes on, if any
         self.strange, self.out = set(), []  # hosts of kinds that no setting names; what is to be done
 
@@ -154,10 +162,10 @@
 
     def begin(self):
         self.out = []
-        if self.s.must_ask:
+        if self.settings.must_subscribe:
             self.ask()
             self.timer(QUIET_LIST, "list")
-        self.timer(self.s.young_span, "room")
+        self.timer(self.settings.slow_start_window, "room")
         return self.out
 
     def handle(self, now, event):
@@ -165,32 +173,34 @@
         match event:
             case api.JobArrived(job, risk):
                 self.arrived(job, risk)
-            case api.Noted(job, _, what, value):
+            case api.MetricReported(job, _, what, value):
                 self.noted(job, what, value)
-            case api.Confirmed(job):
+            case api.LaunchConfirmed(job):
                 self.confirmed(job)
-            case api.Ended(job, _, _, result, why, closed):
+            case api.LaunchEnded(job, _, _, result, why, closed):
                 self.launch_ended(job, result, why, closed)
             case api.HostsListed(hosts, whole, remembered):
                 self.listed(hosts, whole, remembered)
             case api.ListLost():
                 self.asks += 1
                 self.out.append(api.Log(f"list out of reach, time {self.asks} in a row"))
-                self.timer(min(ASK_AGAIN * 2 ** (self.asks - 1), self.s.ask_within / 2), "ask")
+                self.timer(
+                    min(ASK_AGAIN * 2 ** (self.asks - 1), self.settings.subscription_timeout / 2), "ask"
+                )
             case api.JobFound(job, host):
                 self.found(job, host)
-            case api.Withdrawn(job):
+            case api.JobWithdrawn(job):
                 self.withdrawn(job)
-            case api.Woken(key):
+            case api.TimerFired(key):
                 self.woken(key)
-            case api.Probed(host, answered, report):
+            case api.HostProbed(host, answered, report):
                 self.probed(host, answered, report)
         return self.out
 
-    def settle(self, now):
+    def schedule_waiting(self, now):
         """Offers room that has come free to those who wait, in the order in which they deserve it."""
         self.now, self.out = now, []
-        self.direct = self.most = min(TRIES, max(1, LOOKS // max(1, len(self.hosts))))
+        self.direct = self.most = min(MAX_CHOICES, max(1, MAX_HOST_EVALUATIONS // max(1, len(self.hosts))))
         if self.room_made and self.refused is None:
             self.room_made, self.refused = False, set()
         if self.refused is None:
@@ -201,8 +211,8 @@
                 track.offering.name,
                 track.job.cores,
                 track.job.memory,
-                track.risk,
-                track.offering.place is Place.NONE or track.job.service,
+                track.uncertain_launch,
+                track.offering.spread_level is TopologyLevel.NONE or track.job.service,
             )
             if shape in self.refused:
                 continue
@@ -210,7 +220,7 @@
                 # guards against thousands of sizes, or hundreds of hosts to weigh: the rest in turns to come
                 self.timer(0.0, "rest")
                 return self.out
-            host, tries = self.choose(track), tries + 1
+            host, tries = self.choose_host(track), tries + 1
             if host:
                 del self.waiting[track.job.id]
                 self.step(track, host)
@@ -225,25 +235,25 @@
         self.out.append(api.Timer(delay, key))
 
     def track(self, job):
-        offering = self.s.offerings[job.offering]
+        offering = self.settings.offerings[job.offering]
         service = self.services.pop(job.service, None)
         if service is None:
-            usual = self.usual[job.offering]
+            usual = self.offering_estimates[job.offering]
             service = Service(usual.cores, usual.memory, mark=crc32(job.service.encode()))
             # guards against a new name for each job; a service in use stays, or its spread would be lost
-            while len(self.services) >= SERVICES:
+            while len(self.services) >= MAX_SERVICES:
                 idle = next((name for name, known in self.services.items() if not known.tracks), None)
                 if idle is None:
                     break
                 del self.services[idle]
         self.services[job.service] = service
         service.tracks += 1
-        track = self.tracks[job.id] = Track(job, offering, service)
+        track = self.tracked_jobs[job.id] = TrackedJob(job, offering, service)
         track.life = self.life(track)
         return track
 
     def forget(self, track):
-        if self.tracks.pop(track.job.id, None):
+        if self.tracked_jobs.pop(track.job.id, None):
             track.service.tracks -= 1
 
     def arrived(self, job, risk):
@@ -251,18 +261,21 @@
         self.gap += ANSWER_SEEN * (gap - self.gap)
         # one a job, no more a turn than choices, since who is asked is a look at all; none where its news is
         # old long before the round is over: it changes nothing. Harms where only probes find a host well
-        if self.direct > 0 and self.s.may_probe and 0 < len(self.hosts) * self.gap <= ROUND:
+        if self.direct > 0 and self.settings.may_probe and 0 < len(self.hosts) * self.gap <= ROUND:
             host = min(self.hosts.values(), key=lambda host: (host.entry.mode is Mode.GONE, host.probed))
             host.probed = self.now
             self.out.append(api.Probe(host.entry.id))
         track = self.track(job)
         if risk:
-            track.risk = self.hosts.get(risk[0]), risk[1]  # None: gone since, and its group with it
+            track.uncertain_launch = (
+                self.hosts.get(risk[0]),
+                risk[1],
+            )  # None: gone since, and its group with it
         self.step(track, None)
 
     def found(self, job, host_id):
         host = self.hosts.get(host_id)
-        if host is None or job.id in self.tracks or not sound(job.cores, job.memory):
+        if host is None or job.id in self.tracked_jobs or not sound(job.cores, job.memory):
             return
         track = self.track(job)
         track.ended = track.confirmed = track.started = True
@@ -272,7 +285,7 @@
             host.asked = max(0.0, host.asked[0] - job.cores), max(0.0, host.asked[1] - job.memory)
 
     def withdrawn(self, job_id):
-        track = self.tracks.get(job_id)
+        track = self.tracked_jobs.get(job_id)
         if track and not track.ended:
             track.ended = True
             self.waiting.pop(job_id, None)
@@ -295,7 +308,7 @@
 
     def life(self, track):
         """Yields ROOM until a host has some, then that host to launch there, then RUNS; returns the answer"""
-        while track.launches < self.s.max_launches:
+        while track.launches < self.settings.max_launches:
             host = yield ROOM
             if host is None:
                 break
@@ -308,10 +321,10 @@
             if ended is Result.ERROR and track.erred is not host:
                 break  # it fails wherever it runs
             if ended not in NEVER_RAN:
-                track.risk = track.risk or (host, track.sent)
+                track.uncertain_launch = track.uncertain_launch or (host, track.sent)
                 if track.offering.effect is Effect.IRREVERSIBLE:
                     break
-        harmless = track.risk is None or track.offering.effect is Effect.REDOABLE
+        harmless = track.uncertain_launch is None or track.offering.effect is Effect.REDOABLE
         return api.Reject(track.job.id) if harmless else api.WriteOff(track.job.id)
 
     def step(self, track, value):
@@ -335,7 +348,7 @@
                 value = None
                 continue
             self.direct -= 1  # guards against a lost zone's hundreds in one turn: others' answers came late
-            value = self.choose(track) if self.direct >= 0 else None
+            value = self.choose_host(track) if self.direct >= 0 else None
             if value is None:
                 self.room_made |= self.direct < 0
                 self.waiting[track.job.id] = track
@@ -344,28 +357,31 @@
 
     def claim(self, track):
         customer = track.job.customer
-        over = customer in self.held and self.held[customer] > self.s.quotas[customer] / self.s.controllers
+        over = (
+            customer in self.held
+            and self.held[customer] > self.settings.quotas[customer] / self.settings.controllers
+        )
         return over, -track.offering.value, track.job.expiry
 
     # -- the design: filter, change in F, most room
 
-    def choose(self, track):
-        if not self.wanted(track):
+    def choose_host(self, track):
+        if not self.needs_launch(track):
             return None
         # hosts that answer an offering with errors; where all do, the fault is elsewhere and none is ill
         offers, now, name, self.paced = [], self.now, (track.offering.name, track.job.customer), NEVER
         ill = [
             host
             for host in self.hosts.values()
-            if host.ill and host.ill.get(name, (0.0,))[0] > now or host is track.erred
+            if host.ejections and host.ejections.get(name, (0.0,))[0] > now or host is track.erred
         ]
         ill = ill if len(ill) < len(self.hosts) else ()
-        self.usual_load()
-        ask = track.job.cores, track.job.memory, *track.use()
+        self.refresh_averages()
+        ask = track.job.cores, track.job.memory, *track.usage()
         for host in self.hosts.values():
             if host.full_until <= now and host.silent_until <= now and host not in ill:
-                room = self.room(ask, host)
-                if room >= 0 and self.may_take(track, host):
+                room = self.free_capacity(ask, host)
+                if room >= 0 and self.host_allowed(track, host):
                     offers.append((self.change(track, host), room, host))
         if not offers:
             if self.paced < NEVER:
@@ -374,14 +390,14 @@
         # a late answer: the host is jammed, hung or cut off, though no launch there has failed yet; covers
         # slow starts too; the others are filled first, which harms where one job alone is slow to answer
         offers = [offer for offer in offers if offer[2].answer_due > self.now] or offers
-        if self.s.host_price:
+        if self.settings.host_price:
             offers = least_change(self.fewest(offers))
         # all controllers sample the same few hosts for a service: its program is there and no host draws all;
         # those known to run or keep it are looked at besides. Covers lost programs and controllers' restarts
         # too; harms where a service's use surges: its few homes are crowded first
         service, mark = track.job.service, track.service.mark
         offers.sort(key=lambda offer: (mark ^ offer[2].mark) * SPREAD & 0xFFFFFFFF)
-        homes = max(HOMES, len(offers) // self.s.controllers)
+        homes = max(HOMES, len(offers) // self.settings.controllers)
         offers = least_change(offers[:homes] + [o for o in offers[homes:] if service in o[2].programs])
         most = max(room for _, room, _ in offers)
         offers = [o for o in offers if o[1] >= most - NEAR_WARM and service in o[2].programs] or offers
@@ -390,9 +406,9 @@
 
     def fewest(self, offers):
         """Only the fullest that the load needs; more, the more controllers pick from late figures at once."""
-        full = self.serving - len(offers)
+        full = self.serving_hosts - len(offers)
         load = full + len(offers) - sum(map(itemgetter(1), offers)) / MEMORY_SHARE
-        needed = max(1, int(load + SPARE_HOSTS * (1 + self.s.controllers)) - full)
+        needed = max(1, int(load + SPARE_HOSTS * (1 + self.settings.controllers)) - full)
         return sorted(offers, key=itemgetter(1))[:needed]
 
     def change(self, track, host):
@@ -401,7 +417,7 @@
             change -= BETA * ((host.tazes == 0) - (host.tazes == 1))
         return change
 
-    def room(self, ask, host):
+    def free_capacity(self, ask, host):
         """Room left beside a job that asks and uses so much, as a share of the host; below 0: no fit."""
         asked_cores, asked_memory, used_cores, used_memory = host.load or self.sums(host)
         (accepts_cores, accepts_memory, late, calm), size = self.bounds, host.size
@@ -419,7 +435,7 @@
         host.load = own[0] + asked[0], own[1] + asked[1], own[2] + used[0], own[3] + used[1]
         return host.load
 
-    def usual_load(self):
+    def refresh_averages(self):
         """Sums over all hosts, now and then: what others ask on average, and use of what they ask."""
         if self.now < self.load_due:
             return
@@ -431,7 +447,7 @@
         self.use_ratio = [(own[i + 2] + PRIOR_ASK * UNKNOWN_USE) / (own[i] + PRIOR_ASK) for i in (0, 1)]
         heard = [host for host in hosts if host.asked]
         if heard:
-            s = self.s  # at most what a host accepts: one host's odd figure is not all hosts'
+            s = self.settings  # at most what a host accepts: one host's odd figure is not all hosts'
             self.mean_asked = (
                 sum(min(s.accepts_cores, host.asked[0] / host.size.cores) for host in heard) / len(heard),
                 sum(min(s.accepts_memory, host.asked[1] / host.size.memory) for host in heard) / len(heard),
@@ -447,31 +463,38 @@
 
     # -- the gate: each send passes here, and each rule is kept here
 
-    def wanted(self, track):
+    def needs_launch(self, track):
         return not (track.ended or track.host or self.now >= track.job.expiry - LAST_MOMENT)
 
-    def allowed(self, track, host):
-        return self.wanted(track) and self.may_take(track, host)
+    def launch_allowed(self, track, host):
+        return self.needs_launch(track) and self.host_allowed(track, host)
 
-    def may_take(self, track, host):
+    def host_allowed(self, track, host):
         entry, offering = host.entry, track.offering
         if entry.mode is not Mode.SERVING or (offering.kind and entry.kind != offering.kind):
             return False
-        if len(host.jobs) >= CROWD:  # guards against jobs that ask next to nothing: each costs the others
+        if (
+            len(host.jobs) >= MAX_ENTRIES_PER_HOST
+        ):  # guards against jobs that ask next to nothing: each costs the others
             return False
-        if track.risk and offering.effect is not Effect.REDOABLE:
-            first = track.risk[0]
+        if track.uncertain_launch and offering.effect is not Effect.REDOABLE:
+            first = track.uncertain_launch[0]
             if (
                 offering.effect is Effect.IRREVERSIBLE
                 or first is None
                 or self.now >= forgotten(track)
-                or (place_of(offering.group, first) != place_of(offering.group, host))
+                or (place_of(offering.dedup_level, first) != place_of(offering.dedup_level, host))
             ):
                 return False
-        if entry.booted and self.now < entry.booted + self.s.cold_time:
-            if self.now < self.begun + self.s.young_span:  # an earlier life's sends there are not known
+        if entry.booted and self.now < entry.booted + self.settings.slow_start_duration:
+            if (
+                self.now < self.begun + self.settings.slow_start_window
+            ):  # an earlier life's sends there are not known
                 return False
-            span, part = self.s.young_span * YOUNG_SPAN, self.s.young_limit * YOUNG_SHARE / self.s.controllers
+            span, part = (
+                self.settings.slow_start_window * YOUNG_SPAN,
+                self.settings.slow_start_limit * YOUNG_SHARE / self.settings.controllers,
+            )
             if part < 1.0 and host.slot is None:  # one each, in turns set by chance: else all come at once
                 host.slot = self.random.uniform(0.0, span / part)
             since = 0.0 if host.slot is None else (self.now - host.slot) % (span / part)
@@ -481,17 +504,19 @@
                 if part < 1.0:
                     self.paced = min(self.paced, self.now + span / part - since + SLOT * span / 2)
                 return False
-        if offering.place is not Place.NONE:
-            if track.service.there.get(place_of(offering.place, host), 0) >= offering.most:
+        if offering.spread_level is not TopologyLevel.NONE:
+            if track.service.there.get(place_of(offering.spread_level, host), 0) >= offering.max_per_domain:
                 return False
         return True
 
     def send(self, track, host):
-        if not self.allowed(track, host):
+        if not self.launch_allowed(track, host):
             raise AssertionError("a send that the rules forbid")
         wait = track.job.expiry - LAST_MOMENT - self.now
-        late = max(ANSWER_LEAST, LATE_ANSWER * self.usual[track.offering.name].answer)
-        if not self.s.starts_confirmed:  # a start that is given up is work lost, an acceptance is cheap
+        late = max(ANSWER_LEAST, LATE_ANSWER * self.offering_estimates[track.offering.name].answer)
+        if (
+            not self.settings.starts_confirmed
+        ):  # a start that is given up is work lost, an acceptance is cheap
             wait = min(wait, PATIENCE * track.offering.expiry)
             if track.offering.effect is Effect.REDOABLE:
                 wait = min(wait, late)
@@ -503,7 +528,7 @@
         self.out.append(api.Launch(track.job.id, host.entry.id, wait, forgotten(track) - self.now))
 
     def hold(self, track, host):
-        track.host, track.place = host, place_of(track.offering.place, host)
+        track.host, track.place = host, place_of(track.offering.spread_level, host)
         track.service.there[track.place] = track.service.there.get(track.place, 0) + 1
         host.jobs[track.job.id] = track
         host.programs[track.job.service] = host.programs.pop(track.job.service, 0) + 1
@@ -527,16 +552,16 @@
     # -- what hosts answer
 
     def confirmed(self, job_id):
-        track = self.tracks.get(job_id)
+        track = self.tracked_jobs.get(job_id)
         if track is None or track.host is None or track.confirmed:
             return
         track.confirmed = True
         self.answered(track)
         track.host.tally()
-        track.started = track.started or self.s.starts_confirmed
+        track.started = track.started or self.settings.starts_confirmed
         track.host.fails = track.host.refusals = 0
-        if track.host.ill:
-            track.host.ill.pop((track.offering.name, track.job.customer), None)
+        if track.host.ejections:
+            track.host.ejections.pop((track.offering.name, track.job.customer), None)
         if track.erred and track.erred is not track.host:  # it runs elsewhere, so that host was at fault
             self.errs(track, track.erred)
         if not track.ended:
@@ -544,19 +569,19 @@
 
     def answered(self, track):
         """Learns how long answers take; those not waited for took so long at least."""
-        usual = self.usual[track.offering.name]
+        usual = self.offering_estimates[track.offering.name]
         usual.answer += ANSWER_SEEN * (self.now - track.sent - usual.answer)
 
     def launch_ended(self, job_id, result, why, closed):
-        track = self.tracks.get(job_id)
+        track = self.tracked_jobs.get(job_id)
         if track is None or track.host is None:
             return
         host = self.release(track)
         if result is Result.SILENT and not track.confirmed:
             self.answered(track)
-        if result in (Result.SILENT, Result.UNREACHABLE) or result is Result.CUT and why is Why.UNTOLD:
+        if result in (Result.SILENT, Result.UNREACHABLE) or result is Result.CUT and why is Reason.UNTOLD:
             self.silent(host)
-        elif result is Result.TURNED_AWAY or why is Why.EVICTED:
+        elif result is Result.TURNED_AWAY or why is Reason.EVICTED:
             host.fails = 0
             host.full_until = self.marked(host, "refuses", FULL_MARK, FULL_MOST, host.refusals)
             host.refusals += 1
@@ -577,11 +602,11 @@
         # covers any fault bound to host and offering; harmful if it is over long before its mark. By
         # customer: work that always fails, wherever it runs, would take the hosts from the others
         name = track.offering.name, track.job.customer
-        count = host.ill.get(name, (0.0, 0))[1]
+        count = host.ejections.get(name, (0.0, 0))[1]
         until = self.marked(host, f"errs on {name[0]}", SILENT_MARK, ILL_MOST, count)
-        if len(host.ill) >= CROWD:  # guards against a new customer each time
-            host.ill = {known: mark for known, mark in host.ill.items() if mark[0] > self.now}
-        host.ill[name] = (until, count + 1)
+        if len(host.ejections) >= MAX_ENTRIES_PER_HOST:  # guards against a new customer each time
+            host.ejections = {known: mark for known, mark in host.ejections.items() if mark[0] > self.now}
+        host.ejections[name] = (until, count + 1)
 
     def silent(self, host):
         if host.silent_until > self.now:
@@ -598,7 +623,7 @@
         return self.now + mark
 
     def noted(self, job_id, what, value):
-        track = self.tracks.get(job_id)
+        track = self.tracked_jobs.get(job_id)
         if track is None or track.host is None or not sound(value):
             return
         job = track.job
@@ -611,7 +636,10 @@
             ask, value = getattr(job, what), min(value, getattr(track.host.size, what))
             setattr(track, what, value)
             value = min(value, USE_MOST * ask)
-            for known, weight in ((track.service, USE_WEIGHT), (self.usual[job.offering], USE_WEIGHT / 10)):
+            for known, weight in (
+                (track.service, USE_WEIGHT),
+                (self.offering_estimates[job.offering], USE_WEIGHT / 10),
+            ):
                 old = getattr(known, what)
                 setattr(known, what, old + weight * (value / ask - old))
             service = track.service
@@ -623,10 +651,10 @@
     def pressed(self, track, host, what, value):
         """A host that serves poorly or runs out of memory is fuller than was thought, whoever fills it."""
         size, own = host.size, host.own
-        self.usual_load()
+        self.refresh_averages()
         cores, memory = host.used or self.others_use(host)
         if what == "served":
-            busy = track.offering.calm + track.offering.fade * (1 - value)
+            busy = track.offering.degradation_start + track.offering.degradation_span * (1 - value)
             cores = max(cores, busy * size.cores - own[2])
         else:
             memory = max(memory, value * size.memory - own[3])
@@ -671,22 +699,24 @@
                 if host.entry.id not in named:
                     host.entry = replace(host.entry, mode=Mode.GONE)
         for entry in entries:
-            self.list_one(entry)
+            self.update_host(entry)
         for host in [h for h in self.hosts.values() if h.entry.mode is Mode.GONE and not h.jobs]:
             del self.hosts[host.entry.id]
-        self.serving = sum(host.entry.mode is Mode.SERVING for host in self.hosts.values())
+        self.serving_hosts = sum(host.entry.mode is Mode.SERVING for host in self.hosts.values())
         self.room_made = True
 
-    def list_one(self, entry):
+    def update_host(self, entry):
         host = self.hosts.get(entry.id)
         if host is None:
-            if entry.kind not in self.s.kinds:  # what it has room for cannot be known
-                if entry.id not in self.strange and len(self.strange) < SERVICES:
+            if entry.kind not in self.settings.kinds:  # what it has room for cannot be known
+                if entry.id not in self.strange and len(self.strange) < MAX_SERVICES:
                     self.strange.add(entry.id)
                     text = f"{entry.id} is left out: no setting names its kind {entry.kind!r}"
                     self.out.append(api.Log(text))
                 return
-            host = self.hosts[entry.id] = Host(entry, self.s.kinds[entry.kind], mark=crc32(entry.id.encode()))
+            host = self.hosts[entry.id] = Host(
+                entry, self.settings.kinds[entry.kind], mark=crc32(entry.id.encode())
+            )
         if entry.booted > host.entry.booted:
             host.programs = {service: count for service, count in host.programs.items() if count}
             host.asked = host.used = host.slot = None
@@ -709,8 +739,8 @@
 
 def forgotten(track):
     """When the hosts that drop repeats of a labelled job that may have run forget it."""
-    labelled = track.risk and track.offering.effect is Effect.LABELLED
-    return track.risk[1] + track.offering.window - LAST_MOMENT if labelled else NEVER
+    labelled = track.uncertain_launch and track.offering.effect is Effect.LABELLED
+    return track.uncertain_launch[1] + track.offering.dedup_window - LAST_MOMENT if labelled else NEVER
 
 
 def least_change(offers):
@@ -725,4 +755,6 @@
 def place_of(place, host):
     """What of a host the others in its place share."""
     entry = host.entry
-    return {Place.ALL: "all", Place.ZONE: entry.zone, Place.CELL: entry.cell}.get(place, entry.id)
+    return {TopologyLevel.ALL: "all", TopologyLevel.ZONE: entry.zone, TopologyLevel.CELL: entry.cell}.get(
+        place, entry.id
+    )
--- a/linedeal/settings/build.py
+++ b/linedeal/settings/build.py
@@ -47,12 +47,12 @@
     expiry: float,
     value: float,
     effect: api.Effect,
-    group: api.Place,
+    group: api.TopologyLevel,
     window: float,
     kind: str | None,
     calm: float,
     fade: float,
-    place: api.Place,
+    place: api.TopologyLevel,
     most: int,
 ) -> api.Offering:
     """An offering whose group and window fit its effect: only a labelled one has them."""
@@ -62,13 +62,13 @@
         expiry=expiry,
         value=value,
         effect=effect,
-        group=group if labelled else api.Place.ALL,
-        window=window if labelled else 0.0,
+        dedup_level=group if labelled else api.TopologyLevel.ALL,
+        dedup_window=window if labelled else 0.0,
         kind=kind,
-        calm=calm,
-        fade=fade,
-        place=place,
-        most=most,
+        degradation_start=calm,
+        degradation_span=fade,
+        spread_level=place,
+        max_per_domain=most,
     )
 
 
@@ -81,8 +81,8 @@
         low("controllers", settings.controllers, 1),
         low("accepts_cores", settings.accepts_cores),
         low("accepts_memory", settings.accepts_memory),
-        low("young.offers", settings.young_limit),
-        low("young.span", settings.young_span),
+        low("young.offers", settings.slow_start_limit),
+        low("young.span", settings.slow_start_window),
     ]
     for name, kind in settings.kinds.items():
         found += [low(f"kind {name}.cores", kind.cores), low(f"kind {name}.memory", kind.memory)]
@@ -94,22 +94,22 @@
     found = [
         low("max_launches", settings.max_launches, 1),
         low("host_price", settings.host_price, 0),
-        low("ask_within", settings.ask_within),
-        low("young.time", settings.cold_time, 0),
+        low("ask_within", settings.subscription_timeout),
+        low("young.time", settings.slow_start_duration, 0),
     ]
     for name, item in settings.offerings.items():
         found += [
             low(f"offering {name}.expiry", item.expiry),
             low(f"offering {name}.value", item.value, 0),
-            low(f"offering {name}.calm", item.calm),
-            low(f"offering {name}.fade", item.fade, 0),
+            low(f"offering {name}.calm", item.degradation_start),
+            low(f"offering {name}.fade", item.degradation_span, 0),
         ]
         if item.effect is api.Effect.LABELLED:
-            found.append(low(f"offering {name}.window", item.window))
-            if item.group is api.Place.NONE:
+            found.append(low(f"offering {name}.window", item.dedup_window))
+            if item.dedup_level is api.TopologyLevel.NONE:
                 found.append((f"offering {name}.group", "is missing, a labelled offering needs one"))
-        if item.place is not api.Place.NONE:
-            found.append(low(f"offering {name}.most", item.most, 1))
+        if item.spread_level is not api.TopologyLevel.NONE:
+            found.append(low(f"offering {name}.most", item.max_per_domain, 1))
         if item.kind is not None and item.kind not in settings.kinds:
             found.append((f"offering {name}.kind", f"names {item.kind!r}, which is no kind"))
     found += [low(f"customer {name}.cores", quota, 0) for name, quota in settings.quotas.items()]
--- a/linedeal/settings/cluster.py
+++ b/linedeal/settings/cluster.py
@@ -28,11 +28,11 @@
     "irreversible": api.Effect.IRREVERSIBLE,
 }
 PLACES = {
-    "none": api.Place.NONE,
-    "host": api.Place.HOST,
-    "cell": api.Place.CELL,
-    "zone": api.Place.ZONE,
-    "all": api.Place.ALL,
+    "none": api.TopologyLevel.NONE,
+    "host": api.TopologyLevel.HOST,
+    "cell": api.TopologyLevel.CELL,
+    "zone": api.TopologyLevel.ZONE,
+    "all": api.TopologyLevel.ALL,
 }
 NEEDED = object()
 LARGEST = 1e15  # of any figure: sums and products of such stay finite, and times keep their milliseconds
@@ -293,7 +293,7 @@
             )
             for name, item in blocks["offering"].items()
         },
-        kinds={name: api.Kind(item["cores"], item["memory"]) for name, item in blocks["kind"].items()},
+        kinds={name: api.HostKind(item["cores"], item["memory"]) for name, item in blocks["kind"].items()},
         quotas={
             name: item["cores"] for name, item in blocks["customer"].items() if item["cores"] is not None
         },
@@ -301,13 +301,13 @@
         accepts_memory=cluster["accepts_memory"],
         starts_confirmed=cluster["confirms"] == "running",
         host_price=cluster["host_price"],
-        must_ask=True,
-        ask_within=cluster["ask_within"],
+        must_subscribe=True,
+        subscription_timeout=cluster["ask_within"],
         may_probe=cluster["may_probe"],
         max_launches=cluster["max_launches"],
-        cold_time=young["time"],
-        young_limit=young["offers"],
-        young_span=young["span"],
+        slow_start_duration=young["time"],
+        slow_start_limit=young["offers"],
+        slow_start_window=young["span"],
     )
 
 
--- a/linedeal/standin/model.py
+++ b/linedeal/standin/model.py
@@ -77,7 +77,7 @@
         self.name, self.kind, self.cluster, self.habits = name, kind, cluster, habits
         self.size = cluster.settings.kinds[kind]
         self.random, self.boot = random, boot
-        self.booted = now if young else now - 10 * cluster.settings.cold_time
+        self.booted = now if young else now - 10 * cluster.settings.slow_start_duration
         self.copies: OrderedDict[tuple, Copy] = OrderedDict()
         self.over: OrderedDict[tuple, Copy] = OrderedDict()
         self.queue: deque[Copy] = deque()
@@ -146,10 +146,10 @@
     def offered(self, now, offer) -> None:
         settings = self.cluster.settings
         self.offers.append(now)
-        while self.offers[0] < now - settings.young_span:
+        while self.offers[0] < now - settings.slow_start_window:
             self.offers.popleft()
-        if now < self.booted + settings.cold_time and (
-            len(self.offers) > settings.young_limit * self.habits.fall_over
+        if now < self.booted + settings.slow_start_duration and (
+            len(self.offers) > settings.slow_start_limit * self.habits.fall_over
         ):
             self.fallen = True
             return
@@ -169,7 +169,7 @@
         return self.habits.look * self.random.uniform(0.5, 1.5) / self.pace(now)
 
     def pace(self, now):
-        part = min(1.0, (now - self.booted) / max(self.cluster.settings.cold_time, 1e-9))
+        part = min(1.0, (now - self.booted) / max(self.cluster.settings.slow_start_duration, 1e-9))
         return self.faults.pace * (self.habits.cold_share + (1 - self.habits.cold_share) * part)
 
     def look(self, now, _) -> None:
@@ -262,7 +262,9 @@
             offering = self.cluster.settings.offerings.get(copy.job.offering)
             if copy.phase == pb.RUNNING and offering:
                 over = (
-                    (busy - offering.calm) / offering.fade if offering.fade else float(busy > offering.calm)
+                    (busy - offering.degradation_start) / offering.degradation_span
+                    if offering.degradation_span
+                    else float(busy > offering.degradation_start)
                 )
                 served = min(1.0, max(0.0, 1.0 - over))
                 worst[copy.id[0]] = min(worst.get(copy.id[0], (2.0,)), (served, copy.id))
--- a/linedeal/wirehost.py
+++ b/linedeal/wirehost.py
@@ -9,7 +9,7 @@
 
 from linedeal import interface as api
 from linedeal.policy import Controller
-from linedeal.wiresettings import MODES, NOTES, REASONS, BadSetting, read_settings, report_names
+from linedeal.wiresettings import MODES, METRICS, REASONS, BadSetting, read_settings, report_names
 
 RESULTS = {
     "ok": api.Result.DONE,
@@ -23,7 +23,7 @@
 }
 
 
-class BadInput(Exception):
+class InputError(Exception):
     """Input that cannot be followed; its text names the event and what is wrong."""
 
 
@@ -63,7 +63,7 @@
         """What fails inside an instance ends that instance alone."""
         try:
             call()
-        except BadInput:
+        except InputError:
             raise
         except BadSetting as error:
             self.fatal(who, f"setting {error}")
@@ -80,7 +80,9 @@
         """The batch is read: every instance that had an event may still act, and the reply is complete."""
         for who in self.touched:
             if who in self.instances:
-                self.guard(who, lambda: self.act(who, self.instances[who].controller.settle(self.now)))
+                self.guard(
+                    who, lambda: self.act(who, self.instances[who].controller.schedule_waiting(self.now))
+                )
         out, self.out, self.touched = self.out, [], {}
         return out
 
@@ -107,7 +109,7 @@
             return api.ListLost()
         number = need("backends_changed", f, "list", int)
         if number not in self.lists:
-            raise BadInput(f"backends_changed: list {number} was never sent")
+            raise InputError(f"backends_changed: list {number} was never sent")
         if scope not in ("incr", "total", "warm_copy"):
             return None
         return api.HostsListed(tuple(self.lists[number]), scope != "incr", scope == "warm_copy")
@@ -131,15 +133,15 @@
         return api.JobFound(self.job("running", f), need("running", f, "host", str))
 
     def on_confirmed(self, who, f):
-        return api.Confirmed(
+        return api.LaunchConfirmed(
             need("confirmed", f, "ticket", str), f.get("send_no") or 0, need("confirmed", f, "host", str)
         )
 
     def on_status_note(self, who, f):
-        what = NOTES.get(need("status_note", f, "sort", int))
+        what = METRICS.get(need("status_note", f, "sort", int))
         if what is None:
             return None
-        return api.Noted(
+        return api.MetricReported(
             need("status_note", f, "ticket", str),
             need("status_note", f, "host", str),
             what,
@@ -147,23 +149,23 @@
         )
 
     def on_outcome(self, who, f):
-        return api.Ended(
+        return api.LaunchEnded(
             need("outcome", f, "ticket", str),
             f.get("send_no") or 0,
             need("outcome", f, "host", str),
             RESULTS.get(need("outcome", f, "outcome", str), api.Result.ERROR),
-            REASONS.get(f.get("info") or 0, api.Why.UNTOLD),
+            REASONS.get(f.get("info") or 0, api.Reason.UNTOLD),
             bool(f.get("complete")),
         )
 
     def on_vanished(self, who, f):
-        return api.Withdrawn(need("vanished", f, "ticket", str))
+        return api.JobWithdrawn(need("vanished", f, "ticket", str))
 
     def on_wake(self, who, f):
-        return api.Woken(need("wake", f, "key_back", str))
+        return api.TimerFired(need("wake", f, "key_back", str))
 
     def on_probe_done(self, who, f):
-        return api.Probed(
+        return api.HostProbed(
             need("probe_done", f, "host", str),
             f.get("outcome") == "ok",
             self.instances[who].report(f.get("health_info")),
@@ -173,17 +175,17 @@
 def need(event, fields, key, kind):
     value = fields.get(key)
     if value is None:
-        raise BadInput(f"{event}: {key} is missing")
+        raise InputError(f"{event}: {key} is missing")
     if kind is float and isinstance(value, int) and not isinstance(value, bool):
         return float(value)
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise BadInput(f"{event}: {key} is not {kind.__name__}")
+        raise InputError(f"{event}: {key} is not {kind.__name__}")
     return value
 
 
 def entry(item):
     if not isinstance(item, dict):
-        raise BadInput("pool: an entry is not an object")
+        raise InputError("pool: an entry is not an object")
     free = [item.get(key) for key in ("unasked_cores", "spare_mem")]
     return api.HostEntry(
         id=need("pool", item, "host", str),
@@ -222,19 +224,19 @@
     try:
         message = json.loads(line)
     except ValueError:
-        raise BadInput(f"not JSON: {line.strip()[:80]!r}") from None
+        raise InputError(f"not JSON: {line.strip()[:80]!r}") from None
     except RecursionError:  # guards against a traceback where one plain line is owed
-        raise BadInput(f"nested too deep: {line.strip()[:40]!r}") from None
+        raise InputError(f"nested too deep: {line.strip()[:40]!r}") from None
     if not isinstance(message, dict) or len(message) != 1:
-        raise BadInput(f"not an object with one key: {line.strip()[:80]!r}")
+        raise InputError(f"not an object with one key: {line.strip()[:80]!r}")
     name, fields = next(iter(message.items()))
     if not isinstance(fields, dict):
-        raise BadInput(f"{name}: its fields are not an object")
+        raise InputError(f"{name}: its fields are not an object")
     return name, fields
 
 
 def serve(lines, write):
-    """Answers each batch; raises BadInput where the input cannot be followed."""
+    """Answers each batch; raises InputError where the input cannot be followed."""
     host = WireHost()
     inside = False
     for line in lines:
@@ -250,7 +252,7 @@
         else:
             host.take(name, fields)
     if inside:
-        raise BadInput("the input ended in the middle of a batch")
+        raise InputError("the input ended in the middle of a batch")
 
 
 def main():
@@ -260,7 +262,7 @@
 
     try:
         serve(iter(sys.stdin.readline, ""), write)
-    except BadInput as error:
+    except InputError as error:
         print(f"linedeal: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/linedeal/wiresettings.py
+++ b/linedeal/wiresettings.py
@@ -6,24 +6,24 @@
 
 EFFECTS = {"retryable": api.Effect.REDOABLE, "dedup": api.Effect.LABELLED}
 PLACES = {
-    "all": api.Place.ALL,
-    "zone": api.Place.ZONE,
-    "cell": api.Place.CELL,
-    "machine": api.Place.HOST,
-    "off": api.Place.NONE,
+    "all": api.TopologyLevel.ALL,
+    "zone": api.TopologyLevel.ZONE,
+    "cell": api.TopologyLevel.CELL,
+    "machine": api.TopologyLevel.HOST,
+    "off": api.TopologyLevel.NONE,
 }
 
 REASONS = {
-    1: api.Why.CORES,
-    2: api.Why.MEMORY,
-    3: api.Why.QUEUE,
-    4: api.Why.NOT_HERE,
-    5: api.Why.EVICTED,
-    6: api.Why.PUSHED_OUT,
-    7: api.Why.SENT_AWAY,
+    1: api.Reason.CORES,
+    2: api.Reason.MEMORY,
+    3: api.Reason.QUEUE,
+    4: api.Reason.NOT_HERE,
+    5: api.Reason.EVICTED,
+    6: api.Reason.PUSHED_OUT,
+    7: api.Reason.SENT_AWAY,
 }
 MODES = {"SERVING": api.Mode.SERVING, "DRAINING": api.Mode.DRAINING, "DELETED": api.Mode.GONE}
-NOTES = {1: "started", 2: "cores", 3: "memory", 4: "served", 5: "host_memory"}
+METRICS = {1: "started", 2: "cores", 3: "memory", 4: "served", 5: "host_memory"}
 
 
 def report_names(setup):
@@ -55,13 +55,15 @@
     effect = EFFECTS.get(get(item, "idempotency", str), api.Effect.IRREVERSIBLE)
     kind = int(each("kind_by_class"))
     spread = get(setup, "domain.class_spread", list)
-    place = PLACES.get(spread[index], api.Place.ALL) if index < len(spread) else api.Place.NONE
+    place = (
+        PLACES.get(spread[index], api.TopologyLevel.ALL) if index < len(spread) else api.TopologyLevel.NONE
+    )
     return build.offering(
         name=get(item, "name", str),
         expiry=get(item, "give_up_ms", float) / 1000,
         value=get(item, "worth", float),
         effect=effect,
-        group=PLACES.get(item.get("group"), api.Place.NONE),
+        group=PLACES.get(item.get("group"), api.TopologyLevel.NONE),
         window=get(item, "window_ms", float) / 1000 if effect is api.Effect.LABELLED else 0.0,
         kind=kinds[kind] if 0 <= kind < len(kinds) else None,
         calm=each("class_calm"),
@@ -74,7 +76,7 @@
 def read_settings(setup):
     names = get(setup, "kinds", list)
     kinds = {
-        name: api.Kind(
+        name: api.HostKind(
             number(get(setup, "domain.cores_by_kind", list), i, "domain.cores_by_kind"),
             number(get(setup, "domain.size_memory", list), i, "domain.size_memory"),
         )
@@ -95,13 +97,13 @@
         accepts_memory=get(setup, "domain.admit_memory", float),
         starts_confirmed=get(setup, "domain.confirms", str) == "running",
         host_price=float((setup.get("prices") or {}).get("fleet") or 0),
-        must_ask=get(setup, "discovery", str) != "automatic",
-        ask_within=get(setup, "rules.ask_within_ms", float) / 1000,
+        must_subscribe=get(setup, "discovery", str) != "automatic",
+        subscription_timeout=get(setup, "rules.ask_within_ms", float) / 1000,
         may_probe=get(setup, "permissions.may_probe", bool),
         max_launches=get(setup, "permissions.max_attempts", int),
-        cold_time=get(setup, "rules.cold_ms", float) / 1000,
-        young_limit=get(setup, "domain.young_limit", float),
-        young_span=get(setup, "rules.overload_for_ms", float) / 1000,
+        slow_start_duration=get(setup, "rules.cold_ms", float) / 1000,
+        slow_start_limit=get(setup, "domain.young_limit", float),
+        slow_start_window=get(setup, "rules.overload_for_ms", float) / 1000,
     )
     for where, said in build.faults(settings):
         raise BadSetting(f"{where} {said}")
--- a/tests/watched.py
+++ b/tests/checked_engine.py
@@ -7,28 +7,30 @@
 from linedeal.engine import events as on
 from linedeal.interface import Effect
 from linedeal.settings.cluster import parse_cluster
-from tests.drive import CLUSTER, MINE, Drive
+from tests.engine_driver import CLUSTER, OWN_LIFE, EngineDriver
 
 
-class Watched(Drive):
-    def __init__(self, hosts="ab", life=MINE, cluster=CLUSTER.replace("held = 5", "held = 20000"), **changes):
+class CheckedEngine(EngineDriver):
+    def __init__(
+        self, hosts="ab", life=OWN_LIFE, cluster=CLUSTER.replace("held = 5", "held = 20000"), **changes
+    ):
         self.log = []
         self.engine = Engine(parse_cluster(cluster), "c", life, 7, 0.0)
         settings = replace(self.engine.cluster.settings, **changes)
         self.engine.cluster = replace(self.engine.cluster, settings=settings)
-        self.engine.module.s = settings
+        self.engine.module.settings = settings
         self.engine.begin()
         self.links, self.now = {}, 0.0
-        self.list(hosts)
+        self.list_hosts(hosts)
         for host in hosts:
-            self.up(host, 1)
+            self.link_up(host, 1)
 
-    def jump(self, now, *events):
-        effects = super().jump(now, *events)
+    def step_without_timers(self, now, *events):
+        effects = super().step_without_timers(now, *events)
         self.log += [(now, effect) for effect in effects]
         return effects
 
-    def ask(
+    def submit_job(
         self,
         now,
         offering="web",
@@ -42,19 +44,19 @@
         session="",
         **rest,
     ):
-        return self.turn(
+        return self.step(
             now, on.Submitted(client, key, offering, customer, service, cores, memory, wait, session, **rest)
         )
 
-    def yes(self, now, sent):
+    def accept(self, now, sent):
         """The host accepts a launch, and its frame has left."""
-        self.turn(now, on.Left(sent.host, self.links[sent.host], (sent.number,)))
-        return self.said(on.Accepted, sent, now)
+        self.step(now, on.Left(sent.host, self.links[sent.host], (sent.number,)))
+        return self.host_reply(on.Accepted, sent, now)
 
-    def kept(self, until, answered=True):
+    def check_rules(self, until, answered=True):
         """Rules 1 and 2 on all that was done: each job taken has one answer by `until`, nothing goes out after it, and
         an irreversible job that may have run is neither sent again nor rejected."""
-        self.rest(until)
+        self.advance(until)
         taken, answers, sent = {}, {}, {}
         for now, effect in self.log:
             match effect:
--- a/tests/ground.py
+++ b/tests/cluster_fixture.py
@@ -16,12 +16,12 @@
 from linedeal.standin.host import HostServer
 from linedeal.standin.model import Habits, HostModel
 from linedeal.state import Store
-from tests.drive import CLUSTER
+from tests.engine_driver import CLUSTER
 
 CLUSTER = CLUSTER.replace("held = 5", "held = 20000").replace("controllers = 1", "controllers = 2")
 
 
-def in_memory(directory, work, hosts=3, habits="setup=0.1 life=1", cluster=CLUSTER):
+def run_in_memory(directory, work, hosts=3, habits="setup=0.1 life=1", cluster=CLUSTER):
     """Plays `work(ground)` on a mock clock: `ground.net`, controllers c1 and c2, hosts h01 ...; its result."""
     (directory / "cluster.hcl").write_text(cluster)
     day = parse_day(
@@ -33,14 +33,14 @@
     return play.in_memory(day, work)
 
 
-class OverSockets:
-    """Use `over_sockets`. `contact` names both controllers."""
+class SocketCluster:
+    """Use `socket_cluster`. `contact` names both controllers."""
 
     def __init__(self, directory, cluster, habits):
         self.directory, self.cluster, self.habits = directory, parse_cluster(cluster), habits
         self.net, self.boots = TcpNet(), {}
         self.scopes: dict[str, anyio.CancelScope] = {}
-        self.places: dict[str, tuple] = {}
+        self.addresses: dict[str, tuple] = {}
 
     async def run(self, *, task_status):
         async with anyio.create_task_group() as self.tasks:
@@ -62,12 +62,12 @@
             for name in ("c1", "c2"):
                 await self.start(name)
             await anyio.sleep(0.3)
-            self.contact = ",".join(f"127.0.0.1:{port}" for _, port in self.places.values())
+            self.contact = ",".join(f"127.0.0.1:{port}" for _, port in self.addresses.values())
             task_status.started()
 
     async def start(self, name):
         store = Store(self.directory / name)
-        setup = Setup(name, self.cluster, self.places.get(name, ("127.0.0.1", 0)), self.found, 7)
+        setup = Setup(name, self.cluster, self.addresses.get(name, ("127.0.0.1", 0)), self.found, 7)
         runtime = Runtime(setup, store, self.net, play.QUIET)
         scope = self.scopes[name] = anyio.CancelScope()
 
@@ -78,7 +78,7 @@
             finally:
                 store.close()
 
-        self.places[name] = await self.tasks.start(run)
+        self.addresses[name] = await self.tasks.start(run)
 
     async def kill(self, name):
         self.scopes[name].cancel()
@@ -86,8 +86,8 @@
 
 
 @contextmanager
-def over_sockets(directory, cluster=CLUSTER, habits=Habits(setup=0.02, life=0.4, look=0.001)):
-    ground = OverSockets(directory, cluster, habits)
+def socket_cluster(directory, cluster=CLUSTER, habits=Habits(setup=0.02, life=0.4, look=0.001)):
+    ground = SocketCluster(directory, cluster, habits)
     with ExitStack() as stack:
         portal = stack.enter_context(anyio.from_thread.start_blocking_portal("asyncio"))
         future, _ = portal.start_task(ground.run)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from tests.play import Play
+from tests.scenario_player import ScenarioPlayer
 
 
 def pytest_collect_file(parent, file_path):
@@ -23,7 +23,7 @@
         self.text = text
 
     def runtest(self):
-        Play(self.text).run()
+        ScenarioPlayer(self.text).run()
 
     def repr_failure(self, excinfo):
         return str(excinfo.value) if excinfo.errisinstance(AssertionError) else super().repr_failure(excinfo)
--- a/tests/drive.py
+++ b/tests/engine_driver.py
@@ -44,35 +44,35 @@
   held = 5
 }
 """
-MINE = 3
+OWN_LIFE = 3
 
 
-class Drive:
-    def __init__(self, hosts="ab", life=MINE):
+class EngineDriver:
+    def __init__(self, hosts="ab", life=OWN_LIFE):
         self.engine = Engine(parse_cluster(CLUSTER), "c", life, 7, 0.0)
         self.engine.begin()
         self.links = {}
         self.now = 0.0
-        self.list(hosts)
+        self.list_hosts(hosts)
         for host in hosts:
-            self.up(host, 1)
+            self.link_up(host, 1)
 
-    def turn(self, now, *events):
-        """Events at `now`, after the timers due before then; what those brought forth is kept in `rung`."""
-        self.rung = self.rest(now - 1e-6) if now > self.now else []
-        return self.jump(now, *events)
+    def step(self, now, *events):
+        """Events at `now`, after the timers due before then; what those brought forth is kept in `timer_effects`."""
+        self.timer_effects = self.advance(now - 1e-6) if now > self.now else []
+        return self.step_without_timers(now, *events)
 
-    def jump(self, now, *events):
+    def step_without_timers(self, now, *events):
         """As of a process that stood still: nothing rang meanwhile."""
         self.now = now
         for event in events:
             self.engine.put(event)
         return self.engine.turn(now)
 
-    def only(self, kind, effects):
+    def of_type(self, kind, effects):
         return [effect for effect in effects if isinstance(effect, kind)]
 
-    def list(self, hosts, now=0.0, **changes):
+    def list_hosts(self, hosts, now=0.0, **changes):
         fields = (
             dict(
                 addresses=("x",),
@@ -87,34 +87,34 @@
             )
             | changes
         )
-        return self.turn(now, on.ListHeard(tuple(on.ListedHost(host, **fields) for host in hosts), True, 1))
+        return self.step(now, on.ListHeard(tuple(on.ListedHost(host, **fields) for host in hosts), True, 1))
 
-    def up(self, host, boot, now=0.0, held=(), forgot=False, age=100.0):
+    def link_up(self, host, boot, now=0.0, held=(), forgot=False, age=100.0):
         self.links[host] = self.links.get(host, 0) + 1
-        return self.turn(now, on.LinkUp(host, self.links[host], boot, age, tuple(held), forgot))
+        return self.step(now, on.LinkUp(host, self.links[host], boot, age, tuple(held), forgot))
 
-    def down(self, host, now, unsent=()):
-        return self.turn(now, on.LinkDown(host, self.links[host], tuple(unsent)))
+    def link_down(self, host, now, unsent=()):
+        return self.step(now, on.LinkDown(host, self.links[host], tuple(unsent)))
 
     def submit(self, now, offering="web", key="k", client=1, cores=1.0, service="s"):
-        return self.turn(now, on.Submitted(client, key, offering, "", service, cores, 1.0, 0.0))
+        return self.step(now, on.Submitted(client, key, offering, "", service, cores, 1.0, 0.0))
 
-    def launched(self, now, offering="web", leave=True, **rest):
+    def launch(self, now, offering="web", leave=True, **rest):
         """A job whose launch is out; with `leave`, its frame has left."""
-        sent = self.only(do.SendLaunch, self.submit(now, offering, **rest))[0]
+        sent = self.of_type(do.SendLaunch, self.submit(now, offering, **rest))[0]
         if leave:
-            self.turn(now, on.Left(sent.host, self.links[sent.host], (sent.number,)))
+            self.step(now, on.Left(sent.host, self.links[sent.host], (sent.number,)))
         return sent
 
-    def said(self, kind, sent, now, *rest):
-        return self.turn(now, kind(sent.host, on.LaunchId(MINE, sent.number), *rest))
+    def host_reply(self, kind, sent, now, *rest):
+        return self.step(now, kind(sent.host, on.LaunchId(OWN_LIFE, sent.number), *rest))
 
     def verdicts(self, effects):
-        return [effect.verdict.value for effect in self.only(do.Answer, effects)]
+        return [effect.verdict.value for effect in self.of_type(do.Answer, effects)]
 
-    def rest(self, until):
+    def advance(self, until):
         """Rings all timers up to then, each at its time."""
         out = []
         while self.engine.next_due() <= until:
-            out += self.jump(max(self.now, self.engine.next_due()))
-        return out + self.jump(until)
+            out += self.step_without_timers(max(self.now, self.engine.next_due()))
+        return out + self.step_without_timers(until)
--- a/tests/platform.py
+++ b/tests/platform_fixture.py
@@ -56,7 +56,7 @@
 SDP = "9d41c07a5be2f318\r\nc=IN IP4 10.4.7.9\r\n"
 
 
-def file_of(bus, known, sockets=256, setup=SETUP):
+def config_file(bus, known, sockets=256, setup=SETUP):
     return {
         "name": "n1",
         "listen": "127.0.0.1:0",
@@ -68,13 +68,13 @@
     }
 
 
-def parsed(**rest):
+def parsed_config(**rest):
     return config.parse(
-        json.dumps(file_of("127.0.0.1:9", {"offset": 0, "batch": []}, **rest)).encode(), "config.json"
+        json.dumps(config_file("127.0.0.1:9", {"offset": 0, "batch": []}, **rest)).encode(), "config.json"
     )
 
 
-SETTINGS = parsed().cluster.settings
+SETTINGS = parsed_config().cluster.settings
 
 
 class Host:
@@ -85,7 +85,7 @@
         self.script = script
         self.frames: list[hosts.Frame] = []
         self.streams: list[anyio.abc.SocketStream] = []
-        self.standing: set[bytes] = set()
+        self.running: set[bytes] = set()
         self.scope = anyio.CancelScope()
 
     async def run(self, *, task_status):
@@ -98,7 +98,7 @@
                 task_status.started()
                 await listener.serve(self.handle)
 
-    async def die(self):
+    async def stop(self):
         self.scope.cancel()
         for stream in self.streams:
             await anyio.aclose_forcefully(stream)
@@ -117,7 +117,7 @@
 
     async def usual(self, stream, frame):
         if frame.type == Type.SETUP:
-            self.standing.add(frame.task)
+            self.running.add(frame.task)
             await stream.send(answer(frame.task))
         elif frame.type == Type.PING:
             await stream.send(
@@ -128,11 +128,11 @@
                     + hosts.parameter(Code.REPORT, b"x0:36;x1:80;queue:0"),
                 )
             )
-        elif frame.type == Type.RELEASE and frame.task in self.standing:
-            self.standing.discard(frame.task)
+        elif frame.type == Type.RELEASE and frame.task in self.running:
+            self.running.discard(frame.task)
             await stream.send(release(frame.task, 31))
 
-    def sent(self, kind):
+    def received(self, kind):
         return [frame for frame in self.frames if frame.type == kind]
 
 
@@ -146,12 +146,12 @@
 
 
 class Bus:
-    """Answers each call with what it has by then; `spoil` may write something else and answer True."""
+    """Answers each call with what it has by then; `on_call` may write something else and answer True."""
 
-    def __init__(self, spoil=None):
-        self.events, self.spoil, self.calls, self.changed = [], spoil, [], anyio.Event()
+    def __init__(self, on_call=None):
+        self.events, self.on_call, self.calls, self.changed = [], on_call, [], anyio.Event()
 
-    def tell(self, *servers, full=False):
+    def publish(self, *servers, full=False):
         offset = len(self.events) + 1
         self.events.append(
             {"offset": offset, "topology": {"version": offset, "full": full, "servers": list(servers)}}
@@ -178,7 +178,7 @@
                 head, _, data = data.partition(b"\r\n\r\n")
                 number = int(head.split(b"from=")[1].split(b"&")[0])
                 self.calls.append(number)
-                if self.spoil and await self.spoil(self, stream, number):
+                if self.on_call and await self.on_call(self, stream, number):
                     return
                 if number >= len(self.events):
                     with anyio.move_on_after(2.0):
@@ -189,11 +189,11 @@
             pass
 
 
-class Client:
-    """One connection of an owner; `said` is all that came back, `closed` tells that it has ended."""
+class OwnerClient:
+    """One connection of an owner; `received` is all that came back, `closed` tells that it has ended."""
 
     def __init__(self, stream):
-        self.stream, self.said, self.closed, self.came = stream, [], anyio.Event(), anyio.Event()
+        self.stream, self.received, self.closed, self.came = stream, [], anyio.Event(), anyio.Event()
         self.one = anyio.Lock()
 
     async def read(self):
@@ -201,7 +201,7 @@
         try:
             while True:
                 for line in reader.feed(await self.stream.receive()):
-                    self.said.append((line.type, line.id, line.cause, line.sdp))
+                    self.received.append((line.type, line.id, line.cause, line.sdp))
                     self.came.set()
                     self.came = anyio.Event()
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -227,27 +227,27 @@
             **{"class": offering} | fields,
         )
 
-    async def until(self, kind, task, within=3.0):
+    async def wait_for(self, kind, task, within=3.0):
         """What came of that kind for the task."""
         with anyio.fail_after(within):
             while True:
                 came = self.came
-                found = [said for said in self.said if said[:2] == (kind, task)]
+                found = [said for said in self.received if said[:2] == (kind, task)]
                 if found:
                     return found[0]
                 await came.wait()
 
 
-class Ground:
+class PlatformCluster:
     def __init__(self, tasks, service, bus, hosts_of, address):
         self.tasks, self.service, self.bus, self.hosts, self.address = tasks, service, bus, hosts_of, address
 
     async def client(self):
-        client = Client(await TcpNet().connect(self.address))
+        client = OwnerClient(await TcpNet().connect(self.address))
         self.tasks.start_soon(client.read)
         return client
 
-    def server(self, name, state="SERVING", **rest):
+    def server_entry(self, name, state="SERVING", **rest):
         return {
             "id": name,
             "addr": "127.0.0.1:%d" % self.hosts[name].port,
@@ -259,25 +259,25 @@
             "unasked": [36, 80],
         } | rest
 
-    async def within(self, seconds, true):
+    async def wait_until(self, seconds, true):
         with anyio.fail_after(seconds):
             while not true():
                 await anyio.sleep(0.01)
 
 
 @asynccontextmanager
-async def ground(tmp_path, log, hosts_of=None, spoil=None, net=None, **rest):
+async def platform_cluster(tmp_path, log, hosts_of=None, on_call=None, net=None, **rest):
     """A service on loopback with its bus and its hosts."""
     hosts_of = hosts_of or {"h1": Host(), "h2": Host()}
     async with anyio.create_task_group() as tasks:
-        bus = Bus(spoil)
+        bus = Bus(on_call)
         await tasks.start(bus.run)
         for host in hosts_of.values():
             await tasks.start(host.run)
-        place = Ground(tasks, None, bus, hosts_of, None)
-        bus.tell(*(place.server(name) for name in hosts_of), full=True)
+        place = PlatformCluster(tasks, None, bus, hosts_of, None)
+        bus.publish(*(place.server_entry(name) for name in hosts_of), full=True)
         path = tmp_path / "config.json"
-        path.write_text(json.dumps(file_of(bus.address, bus.known(), **rest)))
+        path.write_text(json.dumps(config_file(bus.address, bus.known(), **rest)))
         place.service = Service(config.read(str(path)), str(path), net or TcpNet(), log)
         place.address = await tasks.start(place.service.run)
         place.path = path
@@ -286,12 +286,12 @@
         tasks.cancel_scope.cancel()
 
 
-def late(seconds):
+def unix_ms_ago(seconds):
     """A Unix millisecond so long ago."""
     return int((time.time() - seconds) * 1000)
 
 
-def in_stock(service, host):
+def running_job_count(service, host):
     """The jobs that the module counts on that host."""
     return len(service.engine.module.hosts[host].jobs)
 
@@ -300,15 +300,15 @@
     "SETTINGS",
     "SDP",
     "Bus",
-    "Client",
-    "Ground",
+    "OwnerClient",
+    "PlatformCluster",
     "Host",
     "answer",
     "api",
-    "file_of",
-    "ground",
-    "in_stock",
-    "late",
-    "parsed",
+    "config_file",
+    "platform_cluster",
+    "running_job_count",
+    "unix_ms_ago",
+    "parsed_config",
     "release",
 ]
--- a/tests/processes.py
+++ b/tests/platform_processes.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from tests.platform import SETUP, Client, file_of
+from tests.platform_fixture import SETUP, OwnerClient, config_file
 from linedeal.net import TcpNet, parse_address
 
 
@@ -44,14 +44,14 @@
         self.over.set()
         self.up.set()
 
-    def said(self, event):
+    def logged(self, event):
         return [line for line in self.log if line["event"] == event]
 
     async def connect(self):
         with anyio.fail_after(30):
             await self.up.wait()
         assert self.address, self.log
-        return Client(await TcpNet().connect(self.address))
+        return OwnerClient(await TcpNet().connect(self.address))
 
 
 class Processes:
@@ -60,17 +60,17 @@
     def __init__(self, tasks, folder):
         self.tasks, self.folder, self.all = tasks, folder, []
 
-    async def start(self, name, bus, known, setup=SETUP, sockets=256, most_files=None, cores=None):
+    async def start(self, name, bus, known, setup=SETUP, sockets=256, max_files=None, cores=None):
         path = self.folder / f"{name}.{len(self.all)}.json"
         path.write_text(
             json.dumps(
-                file_of(bus, known, sockets, setup) | {"name": name, "seed": "%x" % (len(self.all) + 1)}
+                config_file(bus, known, sockets, setup) | {"name": name, "seed": "%x" % (len(self.all) + 1)}
             )
         )
 
         program = [sys.executable, "-m", "linedeal.platform"]
-        if most_files or cores:
-            program = [sys.executable, "-c", BOUNDED, str(most_files or 0), ",".join(map(str, cores or ()))]
+        if max_files or cores:
+            program = [sys.executable, "-c", BOUNDED, str(max_files or 0), ",".join(map(str, cores or ()))]
         child = await anyio.open_process(
             program,
             stdin=subprocess.DEVNULL,
--- a/tests/play.py
+++ b/tests/scenario_player.py
@@ -4,11 +4,11 @@
     offering NAME KEY=VALUE ...             an offering, or a change to one
     host NAME KEY=VALUE ...                 how a host is listed from now on; `at T list` sends it
     fleet N                                 hosts h0, h1 ... likewise; `T list *` names all hosts so far
-    T list NAMES | more NAMES | lost        a whole list, changed entries, a failed call
+    T list NAMES | update NAMES | lost        a whole list, changed entries, a failed call
     T job ID OFFERING CORES/MEMORY SERVICE  also `found ID ... HOST` for one that runs already
-    T ok ID | started ID | use ID CORES MEMORY | served ID SHARE | end ID RESULT [WHY] [closed] | gone ID
+    T accept ID | started ID | usage ID CORES MEMORY | served ID SHARE | end ID RESULT [WHY] [closed] | withdraw ID
     T probe HOST CORES MEMORY | probe HOST -
-    T rest                                  lets time pass
+    T wait                                  lets time pass
     > launch ID HOST[|HOST] or * | reject ID | writeoff ID | subscribe | probe HOST | nothing
 
 The lines behind > are all that was done since the line before them; probes and subscriptions count only where
@@ -26,13 +26,13 @@
     expiry=6.0,
     value=1.0,
     effect=api.Effect.REDOABLE,
-    group=api.Place.ALL,
-    window=8.0,
+    dedup_level=api.TopologyLevel.ALL,
+    dedup_window=8.0,
     kind=None,
-    calm=1.0,
-    fade=1.0,
-    place=api.Place.NONE,
-    most=2,
+    degradation_start=1.0,
+    degradation_span=1.0,
+    spread_level=api.TopologyLevel.NONE,
+    max_per_domain=2,
 )
 SETTINGS = api.Settings(
     controllers=1,
@@ -43,13 +43,13 @@
     accepts_memory=1.5,
     starts_confirmed=False,
     host_price=0.0,
-    must_ask=True,
-    ask_within=10.0,
+    must_subscribe=True,
+    subscription_timeout=10.0,
     may_probe=False,
     max_launches=4,
-    cold_time=10.0,
-    young_limit=20.0,
-    young_span=3.0,
+    slow_start_duration=10.0,
+    slow_start_limit=20.0,
+    slow_start_window=3.0,
 )
 HOST = api.HostEntry(
     id="", kind="std", zone="z", cell=0, mode=api.Mode.SERVING, booted=0.0, free_cores=10.0, free_memory=20.0
@@ -66,7 +66,7 @@
     for word in words:
         key, text = word.split("=")
         old = getattr(thing, key)
-        if isinstance(old, (api.Effect, api.Place, api.Mode)):
+        if isinstance(old, (api.Effect, api.TopologyLevel, api.Mode)):
             values[key] = type(old)[text.upper()]
         elif isinstance(old, bool):
             values[key] = text == "yes"
@@ -75,12 +75,12 @@
     return dataclasses.replace(thing, **values)
 
 
-class Play:
+class ScenarioPlayer:
     def __init__(self, text, seed=7):
         self.lines, self.seed = text.splitlines(), seed
         self.settings, self.offerings, self.listed = SETTINGS, {"web": OFFERING}, {}
-        self.kinds = {"std": api.Kind(10.0, 20.0), "big": api.Kind(20.0, 40.0)}
-        self.quotas, self.watched, self.where, self.timers = {}, set(), {}, []
+        self.kinds = {"std": api.HostKind(10.0, 20.0), "big": api.HostKind(20.0, 40.0)}
+        self.quotas, self.watched, self.host_of_job, self.timers = {}, set(), {}, []
         self.done, self.controller, self.now = [], None, 0.0
 
     def run(self):
@@ -122,21 +122,21 @@
                 self.controller = Controller(settings, self.seed, 0.0)
                 self.act(self.controller.begin())
             self.pass_time(float(name))
-            if rest[0] != "rest":
+            if rest[0] != "wait":
                 self.feed(self.event(*rest))
 
     def pass_time(self, until):
         while self.timers and self.timers[0][0] <= until:
             self.now, _, key = heapq.heappop(self.timers)
-            self.feed(api.Woken(key))
+            self.feed(api.TimerFired(key))
         self.now = until
 
     def feed(self, event):
         self.act(self.controller.handle(self.now, event))
-        self.act(self.controller.settle(self.now))
+        self.act(self.controller.schedule_waiting(self.now))
 
     def event(self, name, *words):
-        if name in ("list", "more"):
+        if name in ("list", "update"):
             names = self.listed if words == ("*",) else words
             return api.HostsListed(tuple(self.listed[word] for word in names), name == "list")
         if name == "lost":
@@ -145,7 +145,7 @@
             report = (
                 {} if words[1] == "-" else {"idle_cores": float(words[1]), "idle_memory": float(words[2])}
             )
-            return api.Probed(words[0], bool(report), report)
+            return api.HostProbed(words[0], bool(report), report)
         job_id = words[0]
         if name in ("job", "found"):
             cores, memory = words[2].split("/")
@@ -160,36 +160,36 @@
                 self.now + self.offerings[words[1]].expiry,
             )
             if name == "found":
-                self.where[job_id] = words[4]
+                self.host_of_job[job_id] = words[4]
             return api.JobArrived(job) if name == "job" else api.JobFound(job, words[4])
-        host = self.where.get(job_id, "nowhere")
-        if name == "ok":
-            return api.Confirmed(job_id, 0, host)
+        host = self.host_of_job.get(job_id, "nowhere")
+        if name == "accept":
+            return api.LaunchConfirmed(job_id, 0, host)
         if name == "started":
-            return api.Noted(job_id, host, "started", 1.0)
+            return api.MetricReported(job_id, host, "started", 1.0)
         if name == "served":
-            return api.Noted(job_id, host, "served", float(words[1]))
-        if name == "use":
-            self.feed(api.Noted(job_id, host, "cores", float(words[1])))
-            return api.Noted(job_id, host, "memory", float(words[2]))
+            return api.MetricReported(job_id, host, "served", float(words[1]))
+        if name == "usage":
+            self.feed(api.MetricReported(job_id, host, "cores", float(words[1])))
+            return api.MetricReported(job_id, host, "memory", float(words[2]))
         if name == "end":
             why = [word for word in words[2:] if word != "closed"]
-            return api.Ended(
+            return api.LaunchEnded(
                 job_id,
                 0,
                 host,
                 api.Result[words[1].upper()],
-                api.Why[why[0].upper()] if why else api.Why.UNTOLD,
+                api.Reason[why[0].upper()] if why else api.Reason.UNTOLD,
                 "closed" in words,
             )
-        assert name == "gone", f"unknown word {name}"
-        return api.Withdrawn(job_id)
+        assert name == "withdraw", f"unknown word {name}"
+        return api.JobWithdrawn(job_id)
 
     def act(self, actions):
         for action in actions:
             match action:
                 case api.Launch(job, host):
-                    self.where[job] = host
+                    self.host_of_job[job] = host
                     self.done.append(("launch", job, host))
                 case api.Reject(job):
                     self.done.append(("reject", job))
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -7,7 +7,7 @@
 from linedeal.lab.report import rows
 from linedeal.protocol import encode, pb
 from linedeal.settings.cluster import parse_cluster
-from tests.drive import CLUSTER
+from tests.engine_driver import CLUSTER
 
 CLUSTER = parse_cluster(CLUSTER)
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -21,7 +21,7 @@
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 from linedeal.settings.cluster import parse_cluster
 from linedeal.settings.keys import hash_of
-from tests.ground import CLUSTER
+from tests.cluster_fixture import CLUSTER
 
 CLUSTER = CLUSTER.replace("controllers = 2", "controllers = 1").replace(
     "held = 20000", "held = 20000\n  connect = 0.5\n  link_silent = 1.0\n  watch = 0.6\n  hello = 1"
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -174,20 +174,20 @@
 
 
 class Ungated(Controller):
-    def wanted(self, track):
+    def needs_launch(self, track):
         return not track.ended and track.host is None
 
-    def may_take(self, track, host):
+    def host_allowed(self, track, host):
         return host.entry.mode is not Mode.GONE
 
 
 class Forgetful(Ungated):
     """Does not hear of drains, either."""
 
-    def list_one(self, entry):
+    def update_host(self, entry):
         from dataclasses import replace
 
-        super().list_one(replace(entry, mode=Mode.SERVING))
+        super().update_host(replace(entry, mode=Mode.SERVING))
 
 
 def broken_rules(breaches):
--- a/tests/test_drmaa.py
+++ b/tests/test_drmaa.py
@@ -36,7 +36,7 @@
 from linedeal.net import TcpNet
 from linedeal.settings.keys import hash_of
 from linedeal.standin.model import Habits
-from tests.ground import over_sockets
+from tests.cluster_fixture import socket_cluster
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 CLUSTER = (EXAMPLES / "cluster.hcl").read_text().replace("controllers    = 4", "controllers    = 2")
@@ -45,7 +45,7 @@
 
 @pytest.fixture(scope="module")
 def ground(tmp_path_factory):
-    with over_sockets(tmp_path_factory.mktemp("ground"), CLUSTER, FAST) as cluster:
+    with socket_cluster(tmp_path_factory.mktemp("ground"), CLUSTER, FAST) as cluster:
         yield cluster
 
 
@@ -268,7 +268,7 @@
             for category in ("course-reader", "photo-book") * 4
         ]
         home = session.inner.owner.homes[0].address
-        name = next(name for name, place in ground.places.items() if place[1] == home[1])
+        name = next(name for name, place in ground.addresses.items() if place[1] == home[1])
         ground.call(ground.kill, name)
         time.sleep(0.3)
         ground.call(ground.start, name)
@@ -531,10 +531,10 @@
 
 
 def test_the_status_of_run_is_the_jobs(tmp_path):
-    with over_sockets(tmp_path, CLUSTER, Habits(setup=0.02, life=0.1, look=0.001)) as failing:
+    with socket_cluster(tmp_path, CLUSTER, Habits(setup=0.02, life=0.1, look=0.001)) as failing:
         assert "done at" in linedeal("run", "course-reader", contact=failing.contact).stdout
     # a job that its host fails has status 1, one that was ended has none and counts as 1 too
-    with over_sockets(tmp_path / "long", CLUSTER, Habits(setup=0.02, life=500.0, look=0.001)) as slow:
+    with socket_cluster(tmp_path / "long", CLUSTER, Habits(setup=0.02, life=500.0, look=0.001)) as slow:
         contact = slow.contact + "/run"
         process = subprocess.Popen(
             [sys.executable, "-m", "linedeal", "run", "course-reader"],
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -6,154 +6,158 @@
 from linedeal.engine import effects as do
 from linedeal.engine import events as on
 from linedeal.engine.engine import BrokenPromise
-from linedeal.interface import Result, Why
-from tests.drive import MINE, Drive
+from linedeal.interface import Reason, Result
+from tests.engine_driver import OWN_LIFE, EngineDriver
 
 
-def held_by(sent, phase=on.Phase.ACCEPTED, life=MINE):
+def held_by(sent, phase=on.Phase.ACCEPTED, life=OWN_LIFE):
     return on.Held(on.LaunchId(life, sent.number), sent.job, phase)
 
 
 def test_a_job_is_taken_launched_and_answered_once():
-    d = Drive()
+    d = EngineDriver()
     effects = d.submit(1.0)
     assert [type(e) for e in effects] == [do.Take, do.SendProbe, do.SendLaunch]
     sent = effects[-1]
-    d.turn(1.0, on.Left(sent.host, 1, (sent.number,)))
-    assert d.verdicts(d.said(on.Accepted, sent, 1.1)) == ["placed"]
-    assert d.verdicts(d.said(on.Accepted, sent, 1.2)) == []
+    d.step(1.0, on.Left(sent.host, 1, (sent.number,)))
+    assert d.verdicts(d.host_reply(on.Accepted, sent, 1.1)) == ["placed"]
+    assert d.verdicts(d.host_reply(on.Accepted, sent, 1.2)) == []
     assert d.engine.taken == {}
 
 
 def test_a_yes_after_the_time_out_is_no_answer_and_stops_the_copy():
     # guards against a late yes that is believed: the job is launched elsewhere by then
-    d = Drive()
-    first = d.launched(1.0)
-    effects = d.rest(1.6)
-    second = d.only(do.SendLaunch, effects)[0]
+    d = EngineDriver()
+    first = d.launch(1.0)
+    effects = d.advance(1.6)
+    second = d.of_type(do.SendLaunch, effects)[0]
     assert second.host != first.host
-    assert do.SendStop(first.host, on.LaunchId(MINE, first.number)) in effects  # called off as it is given up
-    d.turn(1.6, on.Left(second.host, 1, (second.number,)))
-    late = d.said(on.Accepted, first, 1.7)
+    assert (
+        do.SendStop(first.host, on.LaunchId(OWN_LIFE, first.number)) in effects
+    )  # called off as it is given up
+    d.step(1.6, on.Left(second.host, 1, (second.number,)))
+    late = d.host_reply(on.Accepted, first, 1.7)
     assert d.verdicts(late) == []
-    assert do.SendStop(first.host, on.LaunchId(MINE, first.number)) in late
-    assert d.verdicts(d.said(on.Accepted, second, 1.8)) == ["placed"]
+    assert do.SendStop(first.host, on.LaunchId(OWN_LIFE, first.number)) in late
+    assert d.verdicts(d.host_reply(on.Accepted, second, 1.8)) == ["placed"]
 
 
 def test_a_late_yes_of_an_irreversible_job_is_left_to_run_and_counted_on_its_host():
     # guards against stopping halfway what was written off and is the job's one course
-    d = Drive()
-    sent = d.launched(1.0, "feed")
-    assert d.verdicts(d.rest(7.5)) == ["written off"]
-    late = d.said(on.Accepted, sent, 7.6)
-    assert d.verdicts(late) == [] and not d.only(do.SendStop, late)
-    assert sent.job.id in d.engine.module.tracks
+    d = EngineDriver()
+    sent = d.launch(1.0, "feed")
+    assert d.verdicts(d.advance(7.5)) == ["written off"]
+    late = d.host_reply(on.Accepted, sent, 7.6)
+    assert d.verdicts(late) == [] and not d.of_type(do.SendStop, late)
+    assert sent.job.id in d.engine.module.tracked_jobs
 
 
 def test_answers_for_unknown_launches_change_nothing():
-    d = Drive()
-    sent = d.launched(1.0)
+    d = EngineDriver()
+    sent = d.launch(1.0)
     other = "b" if sent.host == "a" else "a"
-    wrong_host = d.turn(1.1, on.Accepted(other, on.LaunchId(MINE, sent.number)))
+    wrong_host = d.step(1.1, on.Accepted(other, on.LaunchId(OWN_LIFE, sent.number)))
     assert d.verdicts(wrong_host) == []
-    d.turn(
-        1.1, on.Refused(sent.host, on.LaunchId(MINE, 99), Why.CORES), on.Started("nowhere", on.LaunchId(1, 1))
+    d.step(
+        1.1,
+        on.Refused(sent.host, on.LaunchId(OWN_LIFE, 99), Reason.CORES),
+        on.Started("nowhere", on.LaunchId(1, 1)),
     )
     assert d.engine.counts["for an unknown launch"] == 3
-    assert d.verdicts(d.said(on.Accepted, sent, 1.2)) == ["placed"]
+    assert d.verdicts(d.host_reply(on.Accepted, sent, 1.2)) == ["placed"]
 
 
 def test_a_refusal_after_the_yes_is_not_believed():
-    d = Drive()
-    sent = d.launched(1.0)
-    d.said(on.Accepted, sent, 1.1)
-    assert not d.only(do.SendLaunch, d.said(on.Refused, sent, 1.2, Why.CORES))
+    d = EngineDriver()
+    sent = d.launch(1.0)
+    d.host_reply(on.Accepted, sent, 1.1)
+    assert not d.of_type(do.SendLaunch, d.host_reply(on.Refused, sent, 1.2, Reason.CORES))
     assert sent.job.id in d.engine.by_job
 
 
 def test_a_frame_that_never_left_did_not_run():
-    d = Drive()
-    sent = d.launched(1.0, "feed", leave=False)
-    again = d.only(do.SendLaunch, d.down(sent.host, 1.1, unsent=(sent.number,)))
+    d = EngineDriver()
+    sent = d.launch(1.0, "feed", leave=False)
+    again = d.of_type(do.SendLaunch, d.link_down(sent.host, 1.1, unsent=(sent.number,)))
     assert [launch.host != sent.host for launch in again] == [True]  # irreversible, and yet launched again
 
 
 def test_a_redoable_job_is_launched_again_as_its_link_breaks():
-    d = Drive()
-    sent = d.launched(1.0)
-    again = d.only(do.SendLaunch, d.down(sent.host, 1.1))
+    d = EngineDriver()
+    sent = d.launch(1.0)
+    again = d.of_type(do.SendLaunch, d.link_down(sent.host, 1.1))
     assert again and again[0].host != sent.host
 
 
 def test_a_probe_is_lost_with_its_link():
     # guards against one break told as two silences, which doubles the host's mark
-    d = Drive("a")
+    d = EngineDriver("a")
     d.submit(1.0)
     assert list(d.engine.probes.values()) == ["a"]
-    d.down("a", 1.1)
+    d.link_down("a", 1.1)
     assert not d.engine.probes
 
 
 def test_an_old_line_of_the_list_makes_no_host_younger_or_older():
     # guards against a list that is late: it would take a young host for a warm one
-    d = Drive("a")
-    d.list("a", 1.0, boot=5, age=0.5)
-    d.list("a", 1.2, boot=1, age=500.0)
+    d = EngineDriver("a")
+    d.list_hosts("a", 1.0, boot=5, age=0.5)
+    d.list_hosts("a", 1.2, boot=1, age=500.0)
     assert d.engine.fleet.hosts["a"].listed.boot == 5
-    d.list("a", 1.4, boot=5, age=3.0)  # the same boot, reckoned from a late line
+    d.list_hosts("a", 1.4, boot=5, age=3.0)  # the same boot, reckoned from a late line
     assert d.engine.module.hosts["a"].entry.booted == 0.5
 
 
 def test_an_irreversible_job_waits_for_proof_when_its_link_breaks():
     # guards against a launch written to a socket buffer as the link breaks: nobody knows, so nothing is sent
-    d = Drive()
-    sent = d.launched(1.0, "feed")
-    assert not d.only(do.SendLaunch, d.down(sent.host, 1.1))
-    assert not d.only(do.Answer, d.rest(2.0))
+    d = EngineDriver()
+    sent = d.launch(1.0, "feed")
+    assert not d.of_type(do.SendLaunch, d.link_down(sent.host, 1.1))
+    assert not d.of_type(do.Answer, d.advance(2.0))
 
 
 def test_the_same_boot_that_does_not_hold_a_launch_proves_that_it_never_ran():
-    d = Drive()
-    sent = d.launched(1.0, "feed")
-    d.down(sent.host, 1.1)
-    effects = d.up(sent.host, 1, 1.3)
-    assert d.only(do.SendLaunch, effects)
+    d = EngineDriver()
+    sent = d.launch(1.0, "feed")
+    d.link_down(sent.host, 1.1)
+    effects = d.link_up(sent.host, 1, 1.3)
+    assert d.of_type(do.SendLaunch, effects)
     assert d.engine.counts["proven not run"] == 1
 
 
 @pytest.mark.parametrize("boot, forgot", [(2, False), (1, True)])
 def test_another_boot_or_a_host_that_forgot_proves_nothing(boot, forgot):
     # guards against the same host back at the same address within the time-out: it may have run before it died
-    d = Drive()
-    sent = d.launched(1.0, "feed")
-    d.down(sent.host, 1.1)
-    effects = d.up(sent.host, boot, 1.3, forgot=forgot, age=0.1)
+    d = EngineDriver()
+    sent = d.launch(1.0, "feed")
+    d.link_down(sent.host, 1.1)
+    effects = d.link_up(sent.host, boot, 1.3, forgot=forgot, age=0.1)
     assert d.verdicts(effects) == ["written off"]
-    assert not d.only(do.SendLaunch, effects)
+    assert not d.of_type(do.SendLaunch, effects)
 
 
 def test_a_launch_that_the_host_still_holds_counts_as_its_yes():
-    d = Drive()
-    sent = d.launched(1.0, "feed")
-    d.down(sent.host, 1.1)
-    assert d.verdicts(d.up(sent.host, 1, 1.3, [held_by(sent)])) == ["placed"]
+    d = EngineDriver()
+    sent = d.launch(1.0, "feed")
+    d.link_down(sent.host, 1.1)
+    assert d.verdicts(d.link_up(sent.host, 1, 1.3, [held_by(sent)])) == ["placed"]
 
 
 def test_a_launch_given_after_the_hello_is_not_judged_by_the_welcome():
     # guards against a launch that was queued while the link was being made: the host could not know it
-    d = Drive()
-    d.down("a", 0.5)
-    d.down("b", 0.5)
-    sent = d.launched(1.0, "feed", leave=False)
-    assert not d.only(do.SendLaunch, d.up(sent.host, 1, 1.1))
-    assert d.engine.launches[on.LaunchId(MINE, sent.number)].job is sent.job
+    d = EngineDriver()
+    d.link_down("a", 0.5)
+    d.link_down("b", 0.5)
+    sent = d.launch(1.0, "feed", leave=False)
+    assert not d.of_type(do.SendLaunch, d.link_up(sent.host, 1, 1.1))
+    assert d.engine.launches[on.LaunchId(OWN_LIFE, sent.number)].job is sent.job
 
 
 def test_jobs_of_an_earlier_life_are_found_and_their_ends_seen():
-    d = Drive()
+    d = EngineDriver()
     job = api.Job("c.2.9", "web", "", "s", 1.0, 1.0, 0.0)
     old, over = on.LaunchId(2, 9), on.LaunchId(2, 8)
-    effects = d.up(
+    effects = d.link_up(
         "a",
         1,
         1.0,
@@ -163,75 +167,75 @@
         ],
     )
     assert do.SendEndSeen("a", over) in effects
-    assert "c.2.9" in d.engine.module.tracks
-    assert d.only(do.SendEndSeen, d.turn(2.0, on.Over("a", old, Result.DONE, Why.UNTOLD)))
-    assert "c.2.9" not in d.engine.module.tracks
+    assert "c.2.9" in d.engine.module.tracked_jobs
+    assert d.of_type(do.SendEndSeen, d.step(2.0, on.Over("a", old, Result.DONE, Reason.UNTOLD)))
+    assert "c.2.9" not in d.engine.module.tracked_jobs
 
 
 def test_a_job_that_is_held_is_lost_with_its_boot():
-    d = Drive()
-    sent = d.launched(1.0)
-    d.said(on.Accepted, sent, 1.1)
-    d.down(sent.host, 2.0)
-    assert sent.job.id in d.engine.module.tracks  # it runs on without the link
-    d.up(sent.host, 2, 3.0, age=0.5)
-    assert sent.job.id not in d.engine.module.tracks
+    d = EngineDriver()
+    sent = d.launch(1.0)
+    d.host_reply(on.Accepted, sent, 1.1)
+    d.link_down(sent.host, 2.0)
+    assert sent.job.id in d.engine.module.tracked_jobs  # it runs on without the link
+    d.link_up(sent.host, 2, 3.0, age=0.5)
+    assert sent.job.id not in d.engine.module.tracked_jobs
 
 
 def test_a_welcome_tells_of_a_start_before_the_list_does():
     # guards against pushing over a host that came back between two lists: the fourth rule counts from its boot
-    d = Drive("a")
-    d.down("a", 1.0)
-    d.up("a", 2, 4.0, age=0.5)
-    sent = [d.only(do.SendLaunch, d.submit(5.0, key=f"k{i}")) for i in range(5)]
+    d = EngineDriver("a")
+    d.link_down("a", 1.0)
+    d.link_up("a", 2, 4.0, age=0.5)
+    sent = [d.of_type(do.SendLaunch, d.submit(5.0, key=f"k{i}")) for i in range(5)]
     assert 0 < sum(map(len, sent)) < 4
 
 
 def test_a_controller_that_stood_still_reads_before_it_gives_up():
     # guards against a stop of five seconds: answers lie unread beside time-outs that are long due
-    d = Drive()
-    sent = d.launched(1.0, "feed")
-    effects = d.jump(6.99)  # woken late: the time-out is due, the yes not read yet
-    assert not d.only(do.Answer, effects)
-    assert [note.event for note in d.only(do.Note, effects)] == ["stood still"]
-    assert d.verdicts(d.said(on.Accepted, sent, 7.0)) == ["placed"]
+    d = EngineDriver()
+    sent = d.launch(1.0, "feed")
+    effects = d.step_without_timers(6.99)  # woken late: the time-out is due, the yes not read yet
+    assert not d.of_type(do.Answer, effects)
+    assert [note.event for note in d.of_type(do.Note, effects)] == ["stood still"]
+    assert d.verdicts(d.host_reply(on.Accepted, sent, 7.0)) == ["placed"]
 
 
 def test_a_controller_that_stood_still_answers_all_the_same():
     # guards against putting the time-outs off for ever
-    d = Drive()
-    d.launched(1.0, "feed")
-    d.jump(9.0)
-    assert d.verdicts(d.rest(9.1)) == ["written off"]
+    d = EngineDriver()
+    d.launch(1.0, "feed")
+    d.step_without_timers(9.0)
+    assert d.verdicts(d.advance(9.1)) == ["written off"]
 
 
 def test_a_client_that_leaves_takes_its_jobs_back_while_a_launch_is_out():
-    d = Drive()
-    sent = d.launched(1.0)
-    effects = d.turn(1.1, on.ClientLeft(1))
-    assert do.SendStop(sent.host, on.LaunchId(MINE, sent.number)) in effects
-    late = d.said(on.Accepted, sent, 1.2)
-    assert not d.only(do.Answer, late) and d.only(do.SendStop, late)
-    d.turn(1.3, on.Over(sent.host, on.LaunchId(MINE, sent.number), Result.STOPPED, Why.UNTOLD))
-    assert not d.engine.launches and not d.engine.module.tracks
+    d = EngineDriver()
+    sent = d.launch(1.0)
+    effects = d.step(1.1, on.ClientLeft(1))
+    assert do.SendStop(sent.host, on.LaunchId(OWN_LIFE, sent.number)) in effects
+    late = d.host_reply(on.Accepted, sent, 1.2)
+    assert not d.of_type(do.Answer, late) and d.of_type(do.SendStop, late)
+    d.step(1.3, on.Over(sent.host, on.LaunchId(OWN_LIFE, sent.number), Result.STOPPED, Reason.UNTOLD))
+    assert not d.engine.launches and not d.engine.module.tracked_jobs
 
 
 def test_a_launch_that_waits_for_its_link_is_kept_back_at_its_time_out():
     # guards against an offer that leaves after it was given up
-    d = Drive()
-    sent = d.launched(1.0, leave=False)
-    effects = d.rest(1.52)
+    d = EngineDriver()
+    sent = d.launch(1.0, leave=False)
+    effects = d.advance(1.52)
     assert do.Unsend(sent.host, sent.number) in effects
-    assert d.only(do.SendLaunch, d.turn(1.53, on.Unsent(sent.host, (sent.number,))))
+    assert d.of_type(do.SendLaunch, d.step(1.53, on.Unsent(sent.host, (sent.number,))))
 
 
 def test_over_the_bound_jobs_are_turned_away_before_they_are_taken():
-    d = Drive()
-    d.list("ab", 0.1, mode=api.Mode.DRAINING)  # all wait
+    d = EngineDriver()
+    d.list_hosts("ab", 0.1, mode=api.Mode.DRAINING)  # all wait
     effects = [d.submit(1.0, key=f"k{i}") for i in range(6)]
-    turned = d.only(do.TurnAway, effects[5])
-    assert len(turned) == 1 and turned[0].retry_after > 0 and not d.only(do.Take, effects[5])
-    assert all(d.only(do.Take, some) for some in effects[:5])
+    turned = d.of_type(do.TurnAway, effects[5])
+    assert len(turned) == 1 and turned[0].retry_after > 0 and not d.of_type(do.Take, effects[5])
+    assert all(d.of_type(do.Take, some) for some in effects[:5])
 
 
 @pytest.mark.parametrize(
@@ -239,80 +243,80 @@
     [("offering", "none"), ("cores", float("nan")), ("wait", float("inf")), ("memory", 0.0), ("cores", -1.0)],
 )
 def test_what_cannot_be_placed_is_turned_away(field, value):
-    d = Drive()
+    d = EngineDriver()
     fields = dict(
         client=1, key="k", offering="web", customer="", service="s", cores=1.0, memory=1.0, wait=0.0
     )
-    effects = d.turn(1.0, on.Submitted(**{**fields, field: value}))
+    effects = d.step(1.0, on.Submitted(**{**fields, field: value}))
     assert [type(effect) for effect in effects] == [do.TurnAway]
 
 
 def test_a_key_that_waits_is_not_taken_twice():
-    d = Drive()
-    d.launched(1.0, key="same")
-    assert d.only(do.TurnAway, d.submit(1.1, key="same"))
+    d = EngineDriver()
+    d.launch(1.0, key="same")
+    assert d.of_type(do.TurnAway, d.submit(1.1, key="same"))
 
 
 def test_the_engine_ends_rather_than_break_its_promise():
-    d = Drive()
-    sent = d.launched(1.0)
+    d = EngineDriver()
+    sent = d.launch(1.0)
     with pytest.raises(BrokenPromise):
         d.engine.launch(sent.job.id, sent.host, 1.0)
-    d.said(on.Accepted, sent, 1.1)
+    d.host_reply(on.Accepted, sent, 1.1)
     with pytest.raises(BrokenPromise):
         d.engine.answer(sent.job.id, do.Verdict.REJECTED)
 
 
 def test_after_a_start_hosts_are_asked_at_a_pace():
-    d = Drive("")
-    asked = d.only(do.OpenLink, d.list([f"h{i}" for i in range(60)], 1.0))
+    d = EngineDriver("")
+    asked = d.of_type(do.OpenLink, d.list_hosts([f"h{i}" for i in range(60)], 1.0))
     assert len(asked) <= 20
-    assert len(asked) + len(d.only(do.OpenLink, d.rest(4.2))) == 60
+    assert len(asked) + len(d.of_type(do.OpenLink, d.advance(4.2))) == 60
 
 
 def test_a_gone_host_is_dropped_once_nothing_of_ours_is_there():
-    d = Drive()
-    sent = d.launched(1.0)
-    d.said(on.Accepted, sent, 1.1)
-    assert not d.only(do.DropHost, d.list([h for h in "ab" if h != sent.host], 2.0))
-    effects = d.down(sent.host, 3.0)
+    d = EngineDriver()
+    sent = d.launch(1.0)
+    d.host_reply(on.Accepted, sent, 1.1)
+    assert not d.of_type(do.DropHost, d.list_hosts([h for h in "ab" if h != sent.host], 2.0))
+    effects = d.link_down(sent.host, 3.0)
     assert do.DropHost(sent.host) in effects and not d.engine.launches
 
 
 def test_a_fenced_life_halts():
-    d = Drive()
-    assert d.only(do.Halt, d.turn(1.0, on.Fenced("a", "life 9 is known")))
+    d = EngineDriver()
+    assert d.of_type(do.Halt, d.step(1.0, on.Fenced("a", "life 9 is known")))
 
 
 def erred(d, sent, now):
-    return d.only(do.SendLaunch, d.said(on.Over, sent, now, Result.ERROR, Why.UNTOLD))
+    return d.of_type(do.SendLaunch, d.host_reply(on.Over, sent, now, Result.ERROR, Reason.UNTOLD))
 
 
 def test_a_job_that_errs_on_two_hosts_is_at_fault_itself():
     # guards against bad work that marks host after host for its customer's sound jobs
-    d = Drive("abc")
-    first = d.launched(1.0)
+    d = EngineDriver("abc")
+    first = d.launch(1.0)
     (second,) = erred(d, first, 1.1)
     assert second.host != first.host
-    d.turn(1.1, on.Left(second.host, 1, (second.number,)))
-    effects = d.said(on.Over, second, 1.2, Result.ERROR, Why.UNTOLD)
-    assert d.verdicts(effects) == ["rejected"] and not d.only(do.SendLaunch, effects)
-    assert not any(host.ill for host in d.engine.module.hosts.values())
+    d.step(1.1, on.Left(second.host, 1, (second.number,)))
+    effects = d.host_reply(on.Over, second, 1.2, Result.ERROR, Reason.UNTOLD)
+    assert d.verdicts(effects) == ["rejected"] and not d.of_type(do.SendLaunch, effects)
+    assert not any(host.ejections for host in d.engine.module.hosts.values())
 
 
 def test_a_host_is_marked_once_its_error_is_seen_to_be_its_own():
-    d = Drive("ab")
-    first = d.launched(1.0)
+    d = EngineDriver("ab")
+    first = d.launch(1.0)
     (second,) = erred(d, first, 1.1)
-    d.turn(1.1, on.Left(second.host, 1, (second.number,)))
-    assert not d.engine.module.hosts[first.host].ill
-    d.said(on.Accepted, second, 1.2)
-    assert d.engine.module.hosts[first.host].ill
-    assert {d.launched(1.3, key=f"k{number}").host for number in range(3)} == {second.host}
+    d.step(1.1, on.Left(second.host, 1, (second.number,)))
+    assert not d.engine.module.hosts[first.host].ejections
+    d.host_reply(on.Accepted, second, 1.2)
+    assert d.engine.module.hosts[first.host].ejections
+    assert {d.launch(1.3, key=f"k{number}").host for number in range(3)} == {second.host}
 
 
 def test_an_irreversible_job_marks_its_host_at_once():
-    d = Drive("ab")
-    sent = d.launched(1.0, "feed")
-    assert d.verdicts(d.said(on.Over, sent, 1.1, Result.ERROR, Why.UNTOLD)) == ["written off"]
-    assert d.engine.module.hosts[sent.host].ill
+    d = EngineDriver("ab")
+    sent = d.launch(1.0, "feed")
+    assert d.verdicts(d.host_reply(on.Over, sent, 1.1, Result.ERROR, Reason.UNTOLD)) == ["written off"]
+    assert d.engine.module.hosts[sent.host].ejections
--- a/tests/test_evenness.py
+++ b/tests/test_evenness.py
@@ -167,4 +167,4 @@
 def test_base_lines_keep_the_gate():
     assert set(POLICIES) >= {"linedeal", "random", "most-room", "two-choices", "three-choices", "own-subset"}
     for policy in POLICIES.values():
-        assert policy.allowed is POLICIES["linedeal"].allowed
+        assert policy.launch_allowed is POLICIES["linedeal"].launch_allowed
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -17,7 +17,7 @@
 from linedeal.protocol import encode
 from linedeal.state import Store
 from linedeal.state.journal import Journal
-from tests.watched import Watched
+from tests.checked_engine import CheckedEngine
 
 NAN, INF = float("nan"), float("inf")
 JOB = api.Job("c.1.1", "web", "", "s", 1.0, 1.0, 9.0)
@@ -28,166 +28,178 @@
 
 @pytest.mark.parametrize("field", ["offering", "customer", "service"])
 def test_a_name_without_end_is_turned_away_in_few_bytes(field):
-    d = Watched()
-    turned = d.only(do.TurnAway, d.ask(1.0, **{field: "\0" * 400_000}))
+    d = CheckedEngine()
+    turned = d.of_type(do.TurnAway, d.submit_job(1.0, **{field: "\0" * 400_000}))
     assert len(turned) == 1 and len(encode(translate.to_client(turned[0]))) < 1000
-    assert d.only(do.SendLaunch, d.ask(1.1, key="other"))
-    d.kept(10)
+    assert d.of_type(do.SendLaunch, d.submit_job(1.1, key="other"))
+    d.check_rules(10)
 
 
 def test_one_customer_cannot_use_up_what_a_controller_may_hold():
-    d = Watched()
-    d.list("ab", 0.1, mode=Mode.DRAINING)  # all wait
+    d = CheckedEngine()
+    d.list_hosts("ab", 0.1, mode=Mode.DRAINING)  # all wait
     d.engine.cluster = replace(d.engine.cluster, limits=replace(d.engine.cluster.limits, held=40))
-    crowd = [d.ask(1.0, key=f"k{i}", customer="crowd") for i in range(60)]
-    others = [d.ask(1.1, key=f"o{i}", customer=f"school{i}", client=2) for i in range(4)]
-    assert sum(len(d.only(do.Take, effects)) for effects in crowd) == 35
-    assert all(d.only(do.Take, effects) for effects in others)
-    assert d.only(do.TurnAway, crowd[-1])[0].retry_after > 0
-    assert set(d.kept(10).values()) == {"rejected"}
+    crowd = [d.submit_job(1.0, key=f"k{i}", customer="crowd") for i in range(60)]
+    others = [d.submit_job(1.1, key=f"o{i}", customer=f"school{i}", client=2) for i in range(4)]
+    assert sum(len(d.of_type(do.Take, effects)) for effects in crowd) == 35
+    assert all(d.of_type(do.Take, effects) for effects in others)
+    assert d.of_type(do.TurnAway, crowd[-1])[0].retry_after > 0
+    assert set(d.check_rules(10).values()) == {"rejected"}
 
 
 def test_one_customers_ended_jobs_do_not_push_out_anothers_answer(monkeypatch):
     # a kept answer that goes unseen is asked for again, and an irreversible job would run twice
     monkeypatch.setattr(sessions, "KEPT_MOST", 10)
-    d = Watched()
-    press = d.only(do.SendLaunch, d.ask(1.0, "feed", "press", customer="paper", session="p"))[0]
-    d.yes(1.1, press)
+    d = CheckedEngine()
+    press = d.of_type(do.SendLaunch, d.submit_job(1.0, "feed", "press", customer="paper", session="p"))[0]
+    d.accept(1.1, press)
     for i in range(40):
-        sent = d.only(do.SendLaunch, d.ask(1.2 + i / 100, key=f"k{i}", customer="crowd", session="c"))[0]
-        d.yes(1.2 + i / 100, sent)
-        d.turn(
-            1.2 + i / 100, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.DONE, api.Why.UNTOLD)
+        sent = d.of_type(
+            do.SendLaunch, d.submit_job(1.2 + i / 100, key=f"k{i}", customer="crowd", session="c")
+        )[0]
+        d.accept(1.2 + i / 100, sent)
+        d.step(
+            1.2 + i / 100, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.DONE, api.Reason.UNTOLD)
         )
     assert len(d.engine.sessions.ledger.entries) <= 12
-    effects = d.ask(2.0, "feed", "press", customer="paper", session="p", client=9)
-    assert [a.verdict for a in d.only(do.Answer, effects)] == [do.Verdict.PLACED] and not d.only(
+    effects = d.submit_job(2.0, "feed", "press", customer="paper", session="p", client=9)
+    assert [a.verdict for a in d.of_type(do.Answer, effects)] == [do.Verdict.PLACED] and not d.of_type(
         do.SendLaunch, effects
     )
 
 
 def test_thousands_of_shapes_that_wait_cost_a_bounded_number_of_tries_a_turn(monkeypatch):
-    d = Watched()
-    d.list("ab", 0.1, mode=Mode.DRAINING)
+    d = CheckedEngine()
+    d.list_hosts("ab", 0.1, mode=Mode.DRAINING)
     for i in range(2000):  # half of the sizes grow, half fall: none says anything of the next
-        d.ask(0.2, key=f"k{i}", cores=1.0 + i / 1000, memory=4.0 - i / 1000)
-    tries, choose = [], d.engine.module.choose
-    monkeypatch.setattr(d.engine.module, "choose", lambda track: tries.append(track) or choose(track))
-    d.list("ab", 0.3, mode=Mode.DRAINING)
+        d.submit_job(0.2, key=f"k{i}", cores=1.0 + i / 1000, memory=4.0 - i / 1000)
+    tries, choose = [], d.engine.module.choose_host
+    monkeypatch.setattr(d.engine.module, "choose_host", lambda track: tries.append(track) or choose(track))
+    d.list_hosts("ab", 0.3, mode=Mode.DRAINING)
     assert 0 < len(tries) <= 200
-    d.turn(0.4)  # the turns after it look at the rest
+    d.step(0.4)  # the turns after it look at the rest
     for _ in range(30):
-        d.rest(d.now + 0.01)
+        d.advance(d.now + 0.01)
     assert len(tries) >= 1500
-    sent = d.only(do.SendLaunch, d.list("ab", 0.8, free_cores=9.0, free_memory=18.0))
+    sent = d.of_type(do.SendLaunch, d.list_hosts("ab", 0.8, free_cores=9.0, free_memory=18.0))
     assert sent and sent[0].job.id == "c.3.1"  # the first of the order is not passed over
-    d.kept(7)
+    d.check_rules(7)
 
 
 def test_jobs_that_wait_while_hundreds_of_hosts_are_weighed_for_each_leave_turns_to_others(monkeypatch):
     # guards against a settling that keeps ends and drains unheard: the cost of a choice grows with the hosts
-    d = Watched()
+    d = CheckedEngine()
     hosts = [f"h{i}" for i in range(400)]
-    d.list(hosts, 0.1, mode=Mode.DRAINING)
+    d.list_hosts(hosts, 0.1, mode=Mode.DRAINING)
     for i in range(90):
-        d.ask(0.2, key=f"k{i}", cores=1.0 + i / 1000, memory=4.0 - i / 1000)
-    tries, choose = [], d.engine.module.choose
-    monkeypatch.setattr(d.engine.module, "choose", lambda track: tries.append(track) or choose(track))
-    d.list(hosts, 0.3, mode=Mode.DRAINING)
+        d.submit_job(0.2, key=f"k{i}", cores=1.0 + i / 1000, memory=4.0 - i / 1000)
+    tries, choose = [], d.engine.module.choose_host
+    monkeypatch.setattr(d.engine.module, "choose_host", lambda track: tries.append(track) or choose(track))
+    d.list_hosts(hosts, 0.3, mode=Mode.DRAINING)
     assert 0 < len(tries) <= 20
     for _ in range(30):
-        d.rest(d.now + 0.01)
+        d.advance(d.now + 0.01)
     assert len(tries) >= 90
 
 
 def test_a_service_of_a_new_name_for_each_job_is_forgotten_in_time():
-    d = Watched()
+    d = CheckedEngine()
     for i in range(6000):
-        d.ask(1.0 + i / 1e6, service=f"s{i}", key=f"k{i}", cores=0.001, memory=0.001)
-        d.turn(1.0 + i / 1e6, on.TakenBack(1, f"k{i}"))
+        d.submit_job(1.0 + i / 1e6, service=f"s{i}", key=f"k{i}", cores=0.001, memory=0.001)
+        d.step(1.0 + i / 1e6, on.TakenBack(1, f"k{i}"))
     for launch in list(d.engine.launches.values()):
-        d.turn(2.0, on.Refused(launch.host, launch.id, api.Why.UNTOLD, ""))
-    d.ask(2.1, service="last", key="last")
+        d.step(2.0, on.Refused(launch.host, launch.id, api.Reason.UNTOLD, ""))
+    d.submit_job(2.1, service="last", key="last")
     assert len(d.engine.module.services) <= 4200
 
 
 def test_a_service_in_use_is_not_forgotten_so_its_spread_is_kept(monkeypatch):
-    monkeypatch.setattr(policy, "SERVICES", 5)
-    d = Watched("a")
-    d.yes(1.0, d.only(do.SendLaunch, d.ask(1.0, "pair", service="old"))[0])
+    monkeypatch.setattr(policy, "MAX_SERVICES", 5)
+    d = CheckedEngine("a")
+    d.accept(1.0, d.of_type(do.SendLaunch, d.submit_job(1.0, "pair", service="old"))[0])
     for i in range(20):
-        d.yes(1.1, d.only(do.SendLaunch, d.ask(1.1, service=f"s{i}", key=f"k{i}", cores=0.01))[0])
-    assert not d.only(do.SendLaunch, d.ask(1.2, "pair", service="old", key="again"))  # one a host
-    assert not d.only(do.SendLaunch, d.rest(6.0))
+        d.accept(
+            1.1, d.of_type(do.SendLaunch, d.submit_job(1.1, service=f"s{i}", key=f"k{i}", cores=0.01))[0]
+        )
+    assert not d.of_type(do.SendLaunch, d.submit_job(1.2, "pair", service="old", key="again"))  # one a host
+    assert not d.of_type(do.SendLaunch, d.advance(6.0))
 
 
 def test_one_customers_failing_jobs_do_not_take_hosts_from_the_others():
-    d = Watched("abcd")
+    d = CheckedEngine("abcd")
     for i in range(3):
-        sent = d.only(do.SendLaunch, d.ask(1.0 + i / 10, key=f"bad{i}", customer="bad", service="bad"))[0]
-        d.yes(1.0 + i / 10, sent)
-        d.turn(
-            1.0 + i / 10, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.ERROR, api.Why.UNTOLD)
+        sent = d.of_type(
+            do.SendLaunch, d.submit_job(1.0 + i / 10, key=f"bad{i}", customer="bad", service="bad")
+        )[0]
+        d.accept(1.0 + i / 10, sent)
+        d.step(
+            1.0 + i / 10, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.ERROR, api.Reason.UNTOLD)
         )
-    sent = d.only(
+    sent = d.of_type(
         do.SendLaunch,
         [
             e
             for i in range(16)
-            for e in d.ask(1.4, key=f"g{i}", customer="good", service=f"g{i}", cores=4.0, memory=0.1)
+            for e in d.submit_job(1.4, key=f"g{i}", customer="good", service=f"g{i}", cores=4.0, memory=0.1)
         ],
     )
     assert {launch.host for launch in sent} == set("abcd")
     for launch in sent:
-        d.yes(1.5, launch)
-    d.kept(10)
+        d.accept(1.5, launch)
+    d.check_rules(10)
 
 
 def test_jobs_that_ask_next_to_nothing_do_not_crowd_one_host_without_end(monkeypatch):
-    monkeypatch.setattr(policy, "CROWD", 50)
-    d = Watched("ab")
+    monkeypatch.setattr(policy, "MAX_ENTRIES_PER_HOST", 50)
+    d = CheckedEngine("ab")
     for i in range(120):
-        for launch in d.only(do.SendLaunch, d.ask(1.0, key=f"t{i}", service="tiny", cores=1e-9, memory=1e-9)):
-            d.yes(1.0, launch)
+        for launch in d.of_type(
+            do.SendLaunch, d.submit_job(1.0, key=f"t{i}", service="tiny", cores=1e-9, memory=1e-9)
+        ):
+            d.accept(1.0, launch)
     assert sorted(len(host.jobs) for host in d.engine.module.hosts.values()) == [50, 50]
     done = next(iter(d.engine.launches.values()))  # one ends: another may go there
-    assert d.only(do.SendLaunch, d.turn(1.1, on.Over(done.host, done.id, api.Result.DONE, api.Why.UNTOLD)))
-    d.kept(10)
+    assert d.of_type(
+        do.SendLaunch, d.step(1.1, on.Over(done.host, done.id, api.Result.DONE, api.Reason.UNTOLD))
+    )
+    d.check_rules(10)
 
 
 def test_marks_of_ever_new_customers_are_bounded(monkeypatch):
-    monkeypatch.setattr(policy, "CROWD", 20)
-    d = Watched("ab")
+    monkeypatch.setattr(policy, "MAX_ENTRIES_PER_HOST", 20)
+    d = CheckedEngine("ab")
     for i in range(200):
-        for sent in d.only(do.SendLaunch, d.ask(1.0 + i, key=f"b{i}", customer=f"c{i}")):
-            d.yes(1.0 + i, sent)
-            d.turn(1.0 + i, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.ERROR, api.Why.UNTOLD))
-    assert max(len(host.ill) for host in d.engine.module.hosts.values()) <= 21
-    d.kept(300)
+        for sent in d.of_type(do.SendLaunch, d.submit_job(1.0 + i, key=f"b{i}", customer=f"c{i}")):
+            d.accept(1.0 + i, sent)
+            d.step(
+                1.0 + i, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.ERROR, api.Reason.UNTOLD)
+            )
+    assert max(len(host.ejections) for host in d.engine.module.hosts.values()) <= 21
+    d.check_rules(300)
 
 
 def test_jobs_held_and_taken_back_leave_no_timers_behind(monkeypatch):
     monkeypatch.setattr(timers, "SWEEP", 10)
-    d = Watched()
+    d = CheckedEngine()
     for i in range(200):
-        d.ask(1.0, key=f"k{i}", session="s", hold=i % 2 == 0, start_in=1e6 * (i % 2))
-        d.turn(1.0, on.TakenBack(1, f"k{i}", "s"))
+        d.submit_job(1.0, key=f"k{i}", session="s", hold=i % 2 == 0, start_in=1e6 * (i % 2))
+        d.step(1.0, on.TakenBack(1, f"k{i}", "s"))
     assert len(d.engine.timers.heap) <= 30 and not d.engine.taken
-    assert d.only(do.TurnAway, d.ask(1.1, session="s", start_in=1e9))  # decades ahead
+    assert d.of_type(do.TurnAway, d.submit_job(1.1, session="s", start_in=1e9))  # decades ahead
 
 
 def test_an_order_repeated_without_end_leaves_no_timers_behind(monkeypatch):
     monkeypatch.setattr(timers, "SWEEP", 10)
-    d = Watched()
-    d.ask(1.0, session="s", hold=True)
+    d = CheckedEngine()
+    d.submit_job(1.0, session="s", hold=True)
     for i in range(300):
-        d.turn(1.0 + i * 0.1, on.Ordered(1, "s", "k", OrderKind.RELEASE if i % 2 == 0 else OrderKind.HOLD))
+        d.step(1.0 + i * 0.1, on.Ordered(1, "s", "k", OrderKind.RELEASE if i % 2 == 0 else OrderKind.HOLD))
         for launch in list(d.engine.launches.values()):
-            d.turn(d.now, on.Refused(launch.host, launch.id, api.Why.UNTOLD, ""))
-        d.list("ab", d.now, free_cores=-9.0)  # so that it is never placed, and can be held again
-    d.rest(d.now + 70.0)  # until launches and strays are forgotten
-    d.ask(d.now, session="s", key="last", hold=True)
-    d.turn(d.now, on.TakenBack(1, "last", "s"))
+            d.step(d.now, on.Refused(launch.host, launch.id, api.Reason.UNTOLD, ""))
+        d.list_hosts("ab", d.now, free_cores=-9.0)  # so that it is never placed, and can be held again
+    d.advance(d.now + 70.0)  # until launches and strays are forgotten
+    d.submit_job(d.now, session="s", key="last", hold=True)
+    d.step(d.now, on.TakenBack(1, "last", "s"))
     assert sum(kind == "held too long" for _, _, kind, _ in d.engine.timers.heap) <= 12
 
 
@@ -228,24 +240,27 @@
 @pytest.mark.parametrize("figure", [NAN, INF, -INF, -1e300, 1e300, 1e9])
 @pytest.mark.parametrize("what", SAID)
 def test_a_hosts_figure_that_is_none_harms_no_other_host(what, figure):
-    d = Watched("abc")
-    sent = d.only(do.SendLaunch, d.ask(1.0))[0]
-    d.yes(1.1, sent)
-    d.turn(1.2, *SAID[what](d, sent, figure))
-    d.rest(1.9)
-    more = [d.only(do.SendLaunch, d.ask(2.0, key=f"k{i}", service=f"new{i}", cores=0.5)) for i in range(12)]
+    d = CheckedEngine("abc")
+    sent = d.of_type(do.SendLaunch, d.submit_job(1.0))[0]
+    d.accept(1.1, sent)
+    d.step(1.2, *SAID[what](d, sent, figure))
+    d.advance(1.9)
+    more = [
+        d.of_type(do.SendLaunch, d.submit_job(2.0, key=f"k{i}", service=f"new{i}", cores=0.5))
+        for i in range(12)
+    ]
     assert all(more), f"{sum(map(bool, more))} of 12 were sent"
     assert all(
         -INF < figure < INF
-        for service in d.engine.module.usual.values()
+        for service in d.engine.module.offering_estimates.values()
         for figure in (service.cores, service.memory)
     )
-    d.kept(20)
+    d.check_rules(20)
 
 
 def test_one_hosts_figures_do_not_fill_those_that_no_list_has_told_of():
-    d = Watched("ab")
-    d.turn(
+    d = CheckedEngine("ab")
+    d.step(
         1.0,
         on.ListHeard(
             (
@@ -256,44 +271,45 @@
             2,
         ),
     )
-    d.ask(1.5)
+    d.submit_job(1.5)
     module = d.engine.module
-    track = next(iter(module.tracks.values()))
-    assert module.room((track.job.cores, track.job.memory, *track.use()), module.hosts["c"]) >= 0
-    d.kept(9)
+    track = next(iter(module.tracked_jobs.values()))
+    assert module.free_capacity((track.job.cores, track.job.memory, *track.usage()), module.hosts["c"]) >= 0
+    d.check_rules(9)
 
 
 def test_a_host_that_no_list_has_told_of_counts_as_the_others_do():
-    d = Watched("")
+    d = CheckedEngine("")
     listed = on.ListedHost("a", ("x",), "std", "z", 0, Mode.SERVING, 1, 100.0, -9.5, -9.5)
-    d.turn(
+    d.step(
         1.0,
         on.ListHeard((listed, replace(listed, id="b"), replace(listed, id="c", free_cores=None)), True, 1),
     )
-    assert not d.only(do.SendLaunch, d.ask(1.5))
-    d.turn(2.0, on.ListHeard((replace(listed, free_cores=5.0, free_memory=15.0),), False, 2))
-    d.kept(9)
+    assert not d.of_type(do.SendLaunch, d.submit_job(1.5))
+    d.step(2.0, on.ListHeard((replace(listed, free_cores=5.0, free_memory=15.0),), False, 2))
+    d.check_rules(9)
 
 
 def test_a_tiny_ask_says_nothing_of_the_offerings_other_jobs():
-    d = Watched()
+    d = CheckedEngine()
     for i in range(30):
-        sent = d.only(
-            do.SendLaunch, d.ask(1.0, key=f"t{i}", customer="tiny", service="tiny", cores=1e-9, memory=1e-9)
+        sent = d.of_type(
+            do.SendLaunch,
+            d.submit_job(1.0, key=f"t{i}", customer="tiny", service="tiny", cores=1e-9, memory=1e-9),
         )[0]
-        d.yes(1.0, sent)
+        d.accept(1.0, sent)
         for _ in range(5):
-            d.turn(1.0, on.Used(sent.host, on.LaunchId(3, sent.number), 0.01, 0.01))
-    assert d.only(do.SendLaunch, d.ask(1.1, key="good", service="good", cores=2.0, memory=2.0))
-    d.kept(20)
+            d.step(1.0, on.Used(sent.host, on.LaunchId(3, sent.number), 0.01, 0.01))
+    assert d.of_type(do.SendLaunch, d.submit_job(1.1, key="good", service="good", cores=2.0, memory=2.0))
+    d.check_rules(20)
 
 
 def test_a_host_of_a_kind_that_no_setting_names_is_sent_nothing():
-    d = Watched("")
-    d.list("a", 1.0, kind="unheard of")
-    assert not d.only(do.SendLaunch, d.ask(1.1, cores=0.1, memory=0.1))
-    d.list("ab", 1.2)
-    assert set(d.kept(9, answered=False).values()) <= {"placed", "rejected"}
+    d = CheckedEngine("")
+    d.list_hosts("a", 1.0, kind="unheard of")
+    assert not d.of_type(do.SendLaunch, d.submit_job(1.1, cores=0.1, memory=0.1))
+    d.list_hosts("ab", 1.2)
+    assert set(d.check_rules(9, answered=False).values()) <= {"placed", "rejected"}
 
 
 # a configuration that changed between two lives
@@ -304,29 +320,29 @@
         (OpenJob("s", "k", replace(JOB, offering="gone"), 4.0, held=True, follow=True), True),
         (OpenJob("s", "k", replace(JOB, offering="gone"), 4.0, start_in=2.0, follow=True), False),
     ):
-        d = Watched()
+        d = CheckedEngine()
         d.engine.recover((job,), ())
         if order:
-            d.turn(1.0, on.Ordered(1, "s", "k", OrderKind.RELEASE))
-        d.rest(8.0)
-        assert d.kept(9.0) == {"c.1.1": "rejected"}
-        assert not d.only(do.SendLaunch, [effect for _, effect in d.log])
+            d.step(1.0, on.Ordered(1, "s", "k", OrderKind.RELEASE))
+        d.advance(8.0)
+        assert d.check_rules(9.0) == {"c.1.1": "rejected"}
+        assert not d.of_type(do.SendLaunch, [effect for _, effect in d.log])
 
 
 def test_what_runs_of_an_offering_that_is_gone_is_left_alone_and_its_end_told():
     from linedeal.engine.recovery import KeptAnswer
 
-    d = Watched()
+    d = CheckedEngine()
     ran = replace(JOB, offering="gone")
     d.engine.recover((), (KeptAnswer("s", "k", ran, "PLACED", "a", on.LaunchId(1, 4), follow=True),))
-    d.turn(0.5, on.StandingAsked(1, "s", ""))
-    effects = d.turn(
+    d.step(0.5, on.StandingAsked(1, "s", ""))
+    effects = d.step(
         1.0, on.LinkUp("a", 5, 1, 50.0, (on.Held(on.LaunchId(1, 4), ran, on.Phase.RUNNING),), False)
     )
-    assert not d.only(do.SendStop, effects)
-    effects = d.turn(2.0, on.Over("a", on.LaunchId(1, 4), api.Result.DONE, api.Why.UNTOLD))
-    assert [told.stage.name for told in d.only(do.Standing, effects)] == ["DONE"]
-    d.kept(9.0)
+    assert not d.of_type(do.SendStop, effects)
+    effects = d.step(2.0, on.Over("a", on.LaunchId(1, 4), api.Result.DONE, api.Reason.UNTOLD))
+    assert [told.stage.name for told in d.of_type(do.Standing, effects)] == ["DONE"]
+    d.check_rules(9.0)
 
 
 @pytest.mark.parametrize(
@@ -341,7 +357,7 @@
 )
 def test_a_job_goes_on_by_the_effect_it_was_taken_under(promise, launch_boot, verdict):
     # the offering is redoable now; host a has another boot than the launch, so it may have run, or the same: it did not
-    d = Watched()
+    d = CheckedEngine()
     d.engine.recover(
         (
             OpenJob(
@@ -355,20 +371,22 @@
         ),
         (),
     )
-    d.up("a", 1, 0.1)
-    d.rest(0.4)
-    sent = d.only(do.SendLaunch, [effect for _, effect in d.log])
+    d.link_up("a", 1, 0.1)
+    d.advance(0.4)
+    sent = d.of_type(do.SendLaunch, [effect for _, effect in d.log])
     assert bool(sent) is (verdict == "placed")
     if sent:
-        d.yes(0.4, sent[0])
-    assert d.kept(9.0) == {"c.1.1": verdict}
+        d.accept(0.4, sent[0])
+    assert d.check_rules(9.0) == {"c.1.1": verdict}
 
 
 def test_the_journal_keeps_what_a_job_was_promised(tmp_path):
     store = Store(tmp_path)
     journal = Journal(store)
-    d = Watched()
-    takes = d.only(do.Take, d.ask(1.0, "feed", session="s") + d.ask(1.0, "mail", "m", session="s"))
+    d = CheckedEngine()
+    takes = d.of_type(
+        do.Take, d.submit_job(1.0, "feed", session="s") + d.submit_job(1.0, "mail", "m", session="s")
+    )
     journal.write(1.0, 1, takes)
     found = Journal(store).read(2.0, 60.0)
     assert [job.promise for job in found.open] == ["IRREVERSIBLE", "LABELLED ZONE 4"]
@@ -376,45 +394,49 @@
 
 
 def test_a_job_goes_on_though_the_host_of_its_risk_is_gone():
-    d = Watched("a")
-    sent = d.only(do.SendLaunch, d.ask(1.0, session="s"))[0]
-    d.turn(1.0, on.Left("a", 1, (sent.number,)))
-    d.list("ab", 1.1, mode=Mode.DRAINING)
-    d.down("a", 1.2)  # it may have run there
-    d.turn(1.3, on.Ordered(1, "s", "k", OrderKind.HOLD))
-    d.list("b", 70.0)  # a is gone for good
-    d.up("b", 1, 70.0)
-    again = d.only(do.SendLaunch, d.turn(71.0, on.Ordered(1, "s", "k", OrderKind.RELEASE)))
+    d = CheckedEngine("a")
+    sent = d.of_type(do.SendLaunch, d.submit_job(1.0, session="s"))[0]
+    d.step(1.0, on.Left("a", 1, (sent.number,)))
+    d.list_hosts("ab", 1.1, mode=Mode.DRAINING)
+    d.link_down("a", 1.2)  # it may have run there
+    d.step(1.3, on.Ordered(1, "s", "k", OrderKind.HOLD))
+    d.list_hosts("b", 70.0)  # a is gone for good
+    d.link_up("b", 1, 70.0)
+    again = d.of_type(do.SendLaunch, d.step(71.0, on.Ordered(1, "s", "k", OrderKind.RELEASE)))
     assert [launch.host for launch in again] == ["b"]
-    d.yes(71.1, again[0])
-    assert d.kept(90.0) == {sent.job.id: "placed"}
+    d.accept(71.1, again[0])
+    assert d.check_rules(90.0) == {sent.job.id: "placed"}
 
 
 def test_a_labelled_job_whose_first_host_is_gone_has_no_group_to_go_on_in():
-    d = Watched("ab")
+    d = CheckedEngine("ab")
     mail = replace(JOB, offering="mail")
     d.engine.recover((OpenJob("s", "k", mail, 5.0, (OldLaunch(on.LaunchId(1, 4), "a", 1, False, 0.5),)),), ())
-    d.up("a", 2, 0.1, age=1.0)  # another boot: it may have run
+    d.link_up("a", 2, 0.1, age=1.0)  # another boot: it may have run
     d.engine.pending.clear()  # as in the turn in which it goes back ...
     d.engine.returning.clear()
-    d.list("b", 0.2)  # ... and its host goes before it is there
+    d.list_hosts("b", 0.2)  # ... and its host goes before it is there
     d.engine.taken["c.1.1"].returning = True
     d.engine.taken["c.1.1"].risk = ("a", 0.0)
     d.engine.returning.append("c.1.1")
     d.engine.timers.arm(0.3, "return", "")
-    assert not d.only(do.SendLaunch, d.rest(9.0))
-    assert d.kept(10.0) == {"c.1.1": "written off"}
+    assert not d.of_type(do.SendLaunch, d.advance(9.0))
+    assert d.check_rules(10.0) == {"c.1.1": "written off"}
 
 
 def test_one_customer_cannot_use_up_the_journal():
-    d = Watched()
-    d.list("ab", 0.1, mode=Mode.DRAINING)
+    d = CheckedEngine()
+    d.list_hosts("ab", 0.1, mode=Mode.DRAINING)
     for i in range(20):
-        assert d.only(do.Take, d.ask(1.0, key=f"k{i}", customer="crowd", session="c", work=b"x" * 60_000))
+        assert d.of_type(
+            do.Take, d.submit_job(1.0, key=f"k{i}", customer="crowd", session="c", work=b"x" * 60_000)
+        )
     d.engine.room = 1_200_000, 1_300_000  # as the journal would say of that, bound included
-    assert d.only(do.TurnAway, d.ask(1.1, key="more", customer="crowd", session="c", work=b"x" * 60_000))
-    assert d.only(do.Take, d.ask(1.1, key="school", customer="school", session="s"))
+    assert d.of_type(
+        do.TurnAway, d.submit_job(1.1, key="more", customer="crowd", session="c", work=b"x" * 60_000)
+    )
+    assert d.of_type(do.Take, d.submit_job(1.1, key="school", customer="school", session="s"))
     for i in range(20):  # as its jobs go it may have more
-        d.turn(1.2, on.TakenBack(1, f"k{i}", "c"))
-    assert d.only(do.Take, d.ask(1.3, key="more", customer="crowd", session="c"))
+        d.step(1.2, on.TakenBack(1, f"k{i}", "c"))
+    assert d.of_type(do.Take, d.submit_job(1.3, key="more", customer="crowd", session="c"))
     assert d.engine.sessions.bytes.of == {"school": sessions.RECORD, "crowd": sessions.RECORD}
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -24,7 +24,7 @@
 from linedeal.standin.host import HostServer
 from linedeal.standin.model import Habits, HostModel
 from linedeal.state import Store
-from tests.drive import CLUSTER
+from tests.engine_driver import CLUSTER
 
 pytestmark = pytest.mark.anyio
 LOOP = ("127.0.0.1", 0)
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -19,7 +19,7 @@
 from linedeal.settings.cluster import parse_cluster
 from linedeal.state import Store
 from linedeal.state.journal import Journal, to_keep
-from tests.drive import CLUSTER
+from tests.engine_driver import CLUSTER
 
 RUNS = int(os.environ.get("LINEDEAL_MODEL_RUNS", "150"))
 OFFERINGS = ("web", "mail", "feed")
@@ -246,7 +246,9 @@
             host.held[launch][1] = on.Phase.ACCEPTED
             self.runs.setdefault(job.id, []).append((self.now, name))
         if host.up and said != "unheard yes":
-            self.feed(on.Refused(name, launch, api.Why.CORES) if said == "no" else on.Accepted(name, launch))
+            self.feed(
+                on.Refused(name, launch, api.Reason.CORES) if said == "no" else on.Accepted(name, launch)
+            )
 
     def end(self, name):
         host = self.hosts[name]
@@ -255,7 +257,7 @@
                 host.held[launch][1] = on.Phase.OVER
                 if host.up:
                     self.feed(
-                        on.Over(name, launch, api.Result.DONE, api.Why.UNTOLD, on.Ran(0, 1.0, 1.0, 1.0))
+                        on.Over(name, launch, api.Result.DONE, api.Reason.UNTOLD, on.Ran(0, 1.0, 1.0, 1.0))
                     )
                 return
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -3,9 +3,9 @@
 from dataclasses import replace
 
 from linedeal import interface as api
-from linedeal.interface import Mode, Result, Why
-from linedeal.policy import LOOKS, Controller
-from tests.play import OFFERING, SETTINGS
+from linedeal.interface import Mode, Reason, Result
+from linedeal.policy import MAX_HOST_EVALUATIONS, Controller
+from tests.scenario_player import OFFERING, SETTINGS
 
 HOSTS, JOBS = 400, 300
 
@@ -15,7 +15,7 @@
         SETTINGS,
         offerings={"web": replace(OFFERING, name="web", expiry=6.0)},
         controllers=16,
-        kinds={"std": api.Kind(16.0, 64.0)},
+        kinds={"std": api.HostKind(16.0, 64.0)},
     )
     module, chosen, launched, timers = Controller(settings, 1, 0.0), [], [], []
 
@@ -35,21 +35,25 @@
                 0.1, api.JobArrived(api.Job(f"j{number}", "web", "", f"s{number % 9}", 0.1, 0.1, 6.0))
             )
         )
-        act(module.settle(0.1))
+        act(module.schedule_waiting(0.1))
     assert len(launched) == JOBS
-    true = module.choose
-    module.choose = lambda track: chosen.append(track) or true(track)
+    true = module.choose_host
+    module.choose_host = lambda track: chosen.append(track) or true(track)
     first, launched[:] = list(launched), []
     for one in first:  # all in one turn: the connections of their hosts broke
-        act(module.handle(0.2, api.Ended(one.job, 1, one.host, Result.UNREACHABLE, Why.UNTOLD, False)))
-    act(module.settle(0.2))
-    bound = LOOKS // HOSTS
+        act(
+            module.handle(
+                0.2, api.LaunchEnded(one.job, 1, one.host, Result.UNREACHABLE, Reason.UNTOLD, False)
+            )
+        )
+    act(module.schedule_waiting(0.2))
+    bound = MAX_HOST_EVALUATIONS // HOSTS
     assert len(chosen) <= 2 * bound, f"{len(chosen)} choices among {HOSTS} hosts in one turn"
     turns = 1
     while timers:
         timers.clear()
         before, turns = len(chosen), turns + 1
-        act(module.settle(0.2 + turns * 0.01))
+        act(module.schedule_waiting(0.2 + turns * 0.01))
         assert len(chosen) - before <= bound
     assert len(launched) == JOBS and turns >= JOBS // (2 * bound), "each is launched again, in turns to come"
 
@@ -60,7 +64,7 @@
         SETTINGS,
         offerings={"web": replace(OFFERING, name="web", expiry=6.0)},
         controllers=16,
-        kinds={"std": api.Kind(16.0, 64.0)},
+        kinds={"std": api.HostKind(16.0, 64.0)},
         may_probe=True,
     )
     module = Controller(settings, 1, 0.0)
@@ -75,11 +79,13 @@
             True,
         ),
     )
-    module.settle(0.0)
+    module.schedule_waiting(0.0)
     for turn in range(1, 6):
         asked = 0
         for number in range(JOBS):
             job = api.Job(f"j{turn}.{number}", "web", "", f"s{number % 9}", 0.1, 0.1, 6.0)
             asked += sum(type(one) is api.Probe for one in module.handle(turn * 0.01, api.JobArrived(job)))
-        assert (turn == 1 or asked) and asked <= LOOKS // HOSTS, f"{asked} hosts asked in one turn"
-        module.settle(turn * 0.01)
+        assert (turn == 1 or asked) and asked <= MAX_HOST_EVALUATIONS // HOSTS, (
+            f"{asked} hosts asked in one turn"
+        )
+        module.schedule_waiting(turn * 0.01)
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -22,9 +22,9 @@
 from linedeal.settings.cluster import ConfigFault, parse_cluster
 from linedeal.settings import keys as keys_of_customers
 from linedeal.settings.keys import Keys, hash_of
-from tests.drive import CLUSTER, Drive
-from tests.ground import CLUSTER as PAIR
-from tests.ground import in_memory
+from tests.engine_driver import CLUSTER, EngineDriver
+from tests.cluster_fixture import CLUSTER as PAIR
+from tests.cluster_fixture import run_in_memory
 
 JOB = api.Job("c.1.1", "feed", "", "s", 1.0, 1.0, 9.0)
 
@@ -63,84 +63,86 @@
 
 
 def ask(d, now, offering="web", key="k", client=1, **rest):
-    return d.turn(now, on.Submitted(client, key, offering, "", "v", 1.0, 1.0, 0.0, "s", follow=True, **rest))
+    return d.step(now, on.Submitted(client, key, offering, "", "v", 1.0, 1.0, 0.0, "s", follow=True, **rest))
 
 
 def order(d, now, kind, key="k"):
-    return d.turn(now, on.Ordered(1, "s", key, OrderKind[kind]))
+    return d.step(now, on.Ordered(1, "s", key, OrderKind[kind]))
 
 
 def stages(d, effects):
-    return [effect.stage.name for effect in d.only(do.Standing, effects)]
+    return [effect.stage.name for effect in d.of_type(do.Standing, effects)]
 
 
 def fault(d, effects):
-    return d.only(do.Reply, effects)[0].fault
+    return d.of_type(do.Reply, effects)[0].fault
 
 
 def test_a_held_job_is_not_launched_and_its_time_stands_still():
-    d = Drive()
-    assert not d.only(do.SendLaunch, ask(d, 1.0, hold=True))
-    assert not d.only(do.Answer, d.rest(100.0))  # its six seconds do not pass
+    d = EngineDriver()
+    assert not d.of_type(do.SendLaunch, ask(d, 1.0, hold=True))
+    assert not d.of_type(do.Answer, d.advance(100.0))  # its six seconds do not pass
     effects = order(d, 100.0, "RELEASE")
-    sent = d.only(do.SendLaunch, effects)[0]
+    sent = d.of_type(do.SendLaunch, effects)[0]
     assert sent.job.expiry == 106.0 and stages(d, effects) == ["WAITING"]
     assert do.KeepHold(sent.job.id, False, 6.0, 0.0) in effects
 
 
 def test_a_start_time_is_waited_for():
-    d = Drive()
+    d = EngineDriver()
     assert stages(d, ask(d, 1.0, start_in=5.0)) == ["LATER"]
-    assert not d.only(do.SendLaunch, d.rest(5.9))
-    assert d.only(do.SendLaunch, d.rest(6.1))
+    assert not d.of_type(do.SendLaunch, d.advance(5.9))
+    assert d.of_type(do.SendLaunch, d.advance(6.1))
 
 
 def test_a_hold_at_the_moment_of_launch_is_refused():
     # guards against a job that its owner believes held while a host is about to say yes
-    d = Drive()
-    job = d.only(do.SendLaunch, ask(d, 1.0))[0].job
+    d = EngineDriver()
+    job = d.of_type(do.SendLaunch, ask(d, 1.0))[0].job
     assert fault(d, order(d, 1.0, "HOLD")) is Fault.WRONG_STATE
     sent = d.engine.by_job[job.id]
-    d.turn(1.1, on.Refused(sent.host, sent.id, api.Why.CORES))
+    d.step(1.1, on.Refused(sent.host, sent.id, api.Reason.CORES))
     if job.id not in d.engine.by_job:
         assert fault(d, order(d, 1.1, "HOLD")) is Fault.NONE
 
 
 def test_a_job_that_waits_for_room_is_held_and_then_not_launched_into_it():
-    d = Drive()
+    d = EngineDriver()
     for number in range(10):
         effects = ask(d, 1.0, "pair", f"k{number}")
-        if not d.only(do.SendLaunch, effects):
+        if not d.of_type(do.SendLaunch, effects):
             break
     assert fault(d, order(d, 1.1, "HOLD", f"k{number}")) is Fault.NONE
     sent = next(iter(d.engine.launches.values()))
-    d.turn(1.2, on.Left(sent.host, d.links[sent.host], (sent.id.number,)))
-    d.turn(1.3, on.Accepted(sent.host, sent.id))
-    ended = on.Over(sent.host, sent.id, api.Result.DONE, api.Why.UNTOLD)
+    d.step(1.2, on.Left(sent.host, d.links[sent.host], (sent.id.number,)))
+    d.step(1.3, on.Accepted(sent.host, sent.id))
+    ended = on.Over(sent.host, sent.id, api.Result.DONE, api.Reason.UNTOLD)
     held = d.engine.sessions.ledger.entries["s", f"k{number}"].job.id
-    assert held not in [launch.job.id for launch in d.only(do.SendLaunch, d.turn(1.4, ended) + d.rest(20.0))]
+    assert held not in [
+        launch.job.id for launch in d.of_type(do.SendLaunch, d.step(1.4, ended) + d.advance(20.0))
+    ]
     # the four seconds and more that it had left begin again with its release
-    assert d.only(do.SendLaunch, order(d, 50.0, "RELEASE", f"k{number}"))[0].job.expiry == pytest.approx(
+    assert d.of_type(do.SendLaunch, order(d, 50.0, "RELEASE", f"k{number}"))[0].job.expiry == pytest.approx(
         50.0 + 5.9
     )
 
 
 def test_a_second_hold_lasts_as_long_as_the_first():
     # guards against the first hold's timer, which still rings
-    d = Drive()
+    d = EngineDriver()
     most = d.engine.cluster.limits.hold
-    d.list("ab", 0.5, mode=api.Mode.DRAINING)  # so that it is not launched in between
+    d.list_hosts("ab", 0.5, mode=api.Mode.DRAINING)  # so that it is not launched in between
     ask(d, 1.0, hold=True)
     order(d, 0.5 * most, "RELEASE")
     order(d, 0.5 * most, "HOLD")
-    assert not d.verdicts(d.jump(1.0 + most))
-    assert d.verdicts(d.jump(1.5 * most)) == ["rejected"]
+    assert not d.verdicts(d.step_without_timers(1.0 + most))
+    assert d.verdicts(d.step_without_timers(1.5 * most)) == ["rejected"]
 
 
 def test_a_labelled_job_that_may_have_run_cannot_be_held():
-    d = Drive()
-    sent = d.only(do.SendLaunch, ask(d, 1.0, "mail"))[0]
-    d.turn(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
+    d = EngineDriver()
+    sent = d.of_type(do.SendLaunch, ask(d, 1.0, "mail"))[0]
+    d.step(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
     d.engine.taken[sent.job.id].risk = (sent.host, 1.0)
     d.engine.by_job.pop(sent.job.id)
     assert fault(d, order(d, 1.1, "HOLD")) is Fault.WRONG_STATE
@@ -150,54 +152,54 @@
     "offering, verdict", [("web", "rejected"), ("mail", "written off"), ("feed", "written off")]
 )
 def test_ending_a_job_whose_launch_has_no_answer_is_answered_at_once(offering, verdict):
-    d = Drive()
-    sent = d.only(do.SendLaunch, ask(d, 1.0, offering))[0]
-    d.turn(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
+    d = EngineDriver()
+    sent = d.of_type(do.SendLaunch, ask(d, 1.0, offering))[0]
+    d.step(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
     effects = order(d, 1.1, "END")
-    assert d.verdicts(effects) == [verdict] and d.only(do.SendStop, effects)
-    late = d.turn(1.2, on.Accepted(sent.host, on.LaunchId(3, sent.number)))
-    assert d.only(do.SendStop, late) and not d.only(
+    assert d.verdicts(effects) == [verdict] and d.of_type(do.SendStop, effects)
+    late = d.step(1.2, on.Accepted(sent.host, on.LaunchId(3, sent.number)))
+    assert d.of_type(do.SendStop, late) and not d.of_type(
         do.Answer, late
     )  # what comes after is stopped, and no answer
-    assert not d.only(do.SendLaunch, d.rest(20.0))
+    assert not d.of_type(do.SendLaunch, d.advance(20.0))
 
 
 def test_a_jobs_course_is_kept_and_told_to_its_end():
-    d = Drive()
-    sent = d.only(do.SendLaunch, ask(d, 1.0))[0]
+    d = EngineDriver()
+    sent = d.of_type(do.SendLaunch, ask(d, 1.0))[0]
     launch = on.LaunchId(3, sent.number)
-    d.turn(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
-    assert stages(d, d.turn(1.1, on.Accepted(sent.host, launch))) == ["PLACED"]
-    assert stages(d, d.turn(1.2, on.Started(sent.host, launch))) == ["RUNNING"]
+    d.step(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
+    assert stages(d, d.step(1.1, on.Accepted(sent.host, launch))) == ["PLACED"]
+    assert stages(d, d.step(1.2, on.Started(sent.host, launch))) == ["RUNNING"]
     ran = on.Ran(3, 2.0, 1.5, 0.5)
-    effects = d.turn(3.2, on.Over(sent.host, launch, api.Result.ERROR, api.Why.EVICTED, ran))
-    assert stages(d, effects) == ["ERROR"] and d.only(do.Standing, effects)[0].ran == ran
+    effects = d.step(3.2, on.Over(sent.host, launch, api.Result.ERROR, api.Reason.EVICTED, ran))
+    assert stages(d, effects) == ["ERROR"] and d.of_type(do.Standing, effects)[0].ran == ran
     keep = effects.index(do.KeepCourse(sent.job.id, "ERROR", "memory ran out", ran, over=True))
     assert keep < len(effects)
-    assert not d.only(
-        do.KeepNoMore, d.turn(3.3, on.AnswerSeen("s", "k"))
+    assert not d.of_type(
+        do.KeepNoMore, d.step(3.3, on.AnswerSeen("s", "k"))
     )  # it is followed: kept until forgotten
-    assert d.only(do.KeepNoMore, d.turn(3.4, on.Forgotten("s", "k")))
-    assert fault(d, d.turn(3.5, on.StandingAsked(1, "s", "k"))) is Fault.NO_SUCH_JOB
+    assert d.of_type(do.KeepNoMore, d.step(3.4, on.Forgotten("s", "k")))
+    assert fault(d, d.step(3.5, on.StandingAsked(1, "s", "k"))) is Fault.NO_SUCH_JOB
 
 
 def test_a_running_job_is_not_forgotten():
-    d = Drive()
-    sent = d.only(do.SendLaunch, ask(d, 1.0))[0]
-    d.turn(1.1, on.Accepted(sent.host, on.LaunchId(3, sent.number)))
-    assert d.turn(1.2, on.Forgotten("s", "k")) == []
+    d = EngineDriver()
+    sent = d.of_type(do.SendLaunch, ask(d, 1.0))[0]
+    d.step(1.1, on.Accepted(sent.host, on.LaunchId(3, sent.number)))
+    assert d.step(1.2, on.Forgotten("s", "k")) == []
 
 
 def test_an_end_is_ordered_again_on_a_new_link():
     # guards against a stop that was lost with its link: the job would run on for ever
-    d = Drive()
-    sent = d.only(do.SendLaunch, ask(d, 1.0))[0]
+    d = EngineDriver()
+    sent = d.of_type(do.SendLaunch, ask(d, 1.0))[0]
     launch = on.LaunchId(3, sent.number)
-    d.turn(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
-    d.turn(1.1, on.Accepted(sent.host, launch))
-    d.down(sent.host, 1.2)
+    d.step(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
+    d.step(1.1, on.Accepted(sent.host, launch))
+    d.link_down(sent.host, 1.2)
     assert fault(d, order(d, 1.3, "END")) is Fault.NONE
-    up = d.up(
+    up = d.link_up(
         sent.host,
         d.engine.fleet.hosts[sent.host].listed.boot,
         2.0,
@@ -207,16 +209,16 @@
 
 
 def test_a_job_of_a_host_that_is_reborn_is_told_as_lost():
-    d = Drive()
-    sent = d.only(do.SendLaunch, ask(d, 1.0))[0]
-    d.turn(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
-    d.turn(1.1, on.Accepted(sent.host, on.LaunchId(3, sent.number)))
-    d.down(sent.host, 1.2)
-    assert "LOST" in stages(d, d.up(sent.host, 9, 2.0, age=1.0))
+    d = EngineDriver()
+    sent = d.of_type(do.SendLaunch, ask(d, 1.0))[0]
+    d.step(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
+    d.step(1.1, on.Accepted(sent.host, on.LaunchId(3, sent.number)))
+    d.link_down(sent.host, 1.2)
+    assert "LOST" in stages(d, d.link_up(sent.host, 9, 2.0, age=1.0))
 
 
 def recovered(*answers, open_jobs=()):
-    d = Drive()
+    d = EngineDriver()
     d.engine.recover(tuple(open_jobs), answers)
     return d
 
@@ -232,32 +234,32 @@
     host = next(iter(d.engine.fleet.hosts))
     d.engine.sessions.unaccounted[host] = d.engine.sessions.unaccounted.pop("a")
     d.engine.sessions.ledger.by_job[JOB.id].host = host
-    d.turn(0.1, on.StandingAsked(1, "s", ""))
-    effects = d.up(host, 1, 0.2, held=(on.Held(on.LaunchId(1, 4), JOB, on.Phase.RUNNING),))
+    d.step(0.1, on.StandingAsked(1, "s", ""))
+    effects = d.link_up(host, 1, 0.2, held=(on.Held(on.LaunchId(1, 4), JOB, on.Phase.RUNNING),))
     assert "LOST" not in stages(d, effects)
     d = recovered(placed())
     d.engine.sessions.unaccounted[host] = d.engine.sessions.unaccounted.pop("a")
     d.engine.sessions.ledger.by_job[JOB.id].host = host
-    d.turn(0.1, on.StandingAsked(1, "s", ""))
-    assert stages(d, d.up(host, 1, 0.2)) == ["LOST"]
+    d.step(0.1, on.StandingAsked(1, "s", ""))
+    assert stages(d, d.link_up(host, 1, 0.2)) == ["LOST"]
 
 
 def test_after_a_restart_a_job_on_a_host_that_no_list_names_is_lost():
     d = recovered(placed(host="nowhere"))
-    d.turn(0.1, on.StandingAsked(1, "s", ""))
-    assert stages(d, d.list(list(d.engine.fleet.hosts), 0.2)) == ["LOST"]
+    d.step(0.1, on.StandingAsked(1, "s", ""))
+    assert stages(d, d.list_hosts(list(d.engine.fleet.hosts), 0.2)) == ["LOST"]
 
 
 def test_an_end_ordered_in_an_earlier_life_is_carried_out():
     d = recovered(placed(ending=True))
-    effects = d.up(
+    effects = d.link_up(
         next(iter(d.engine.fleet.hosts)), 1, 0.2, held=(on.Held(on.LaunchId(1, 4), JOB, on.Phase.RUNNING),)
     )
-    assert any(stop.launch == on.LaunchId(1, 4) for stop in d.only(do.SendStop, effects))
+    assert any(stop.launch == on.LaunchId(1, 4) for stop in d.of_type(do.SendStop, effects))
 
 
 def test_a_labelled_job_goes_on_in_its_group_and_window_after_a_restart():
-    host = next(iter(Drive().engine.fleet.hosts))
+    host = next(iter(EngineDriver().engine.fleet.hosts))
     mail = replace(JOB, offering="mail")
     for ago, other_zone, goes_on in (
         (1.0, False, True),
@@ -265,28 +267,28 @@
         (1.0, True, False),
         (float("inf"), False, False),
     ):
-        d = Drive()
+        d = EngineDriver()
         d.engine.recover(
             (OpenJob("s", "k", mail, 5.0, (OldLaunch(on.LaunchId(1, 4), host, 1, False, ago),)),), ()
         )
         if other_zone:  # only hosts of another group are left
-            d.list([name for name in d.engine.fleet.hosts if name != host], 0.1, zone="far")
+            d.list_hosts([name for name in d.engine.fleet.hosts if name != host], 0.1, zone="far")
             d.engine.fleet.hosts[host] = d.engine.fleet.hosts.get(host) or None
             d.engine.fleet.hosts.pop(host)
-        effects = d.up(host, 2, 0.2, age=1.0) + d.rest(4.0)
-        assert bool(d.only(do.SendLaunch, effects)) is goes_on, (ago, other_zone)
+        effects = d.link_up(host, 2, 0.2, age=1.0) + d.advance(4.0)
+        assert bool(d.of_type(do.SendLaunch, effects)) is goes_on, (ago, other_zone)
 
 
 def test_a_hold_lasts_over_a_restart_and_not_for_ever():
     d = recovered(
         open_jobs=[OpenJob("s", "k", replace(JOB, expiry=float("inf")), 4.0, held=True, follow=True)]
     )
-    assert not d.only(do.SendLaunch, d.rest(50.0))
-    d.turn(50.0, on.StandingAsked(1, "s", ""))
-    assert d.only(do.SendLaunch, order(d, 50.0, "RELEASE"))[0].job.expiry == 54.0
-    d = Drive()
+    assert not d.of_type(do.SendLaunch, d.advance(50.0))
+    d.step(50.0, on.StandingAsked(1, "s", ""))
+    assert d.of_type(do.SendLaunch, order(d, 50.0, "RELEASE"))[0].job.expiry == 54.0
+    d = EngineDriver()
     ask(d, 1.0, hold=True)
-    effects = d.jump(1.0 + d.engine.cluster.limits.hold)
+    effects = d.step_without_timers(1.0 + d.engine.cluster.limits.hold)
     assert d.verdicts(effects) == ["rejected"]
 
 
@@ -406,7 +408,7 @@
             assert owner.keys() == []
         return [standing.stage for standing in found]
 
-    assert in_memory(tmp_path, work) == ["done"] * 15
+    assert run_in_memory(tmp_path, work) == ["done"] * 15
 
 
 def test_a_session_is_opened_again_with_its_jobs(tmp_path):
@@ -428,7 +430,7 @@
             with pytest.raises(OrderRefused):
                 await owner.order(held, HOLD)
 
-    in_memory(tmp_path, work)
+    run_in_memory(tmp_path, work)
 
 
 def test_an_error_in_the_block_comes_out_as_it_is(tmp_path):
@@ -441,7 +443,7 @@
             async with Client.connect(ground.net, ("c1", 1), "t") as client:
                 await client.submit(JobAsk("nothing", "", "v", 1.0, 1.0))
 
-    in_memory(tmp_path, work)
+    run_in_memory(tmp_path, work)
 
 
 def test_two_clients_with_one_key_share_one_job(tmp_path):
@@ -460,7 +462,7 @@
             <= 1
         )
 
-    in_memory(tmp_path, work)
+    run_in_memory(tmp_path, work)
 
 
 def test_a_redoable_job_goes_elsewhere_and_an_irreversible_one_waits(tmp_path):
@@ -484,7 +486,7 @@
         engine = ground.servers[home].engine
         assert not any(entry.key == web for entry in engine.sessions.ledger.entries.values())
 
-    in_memory(tmp_path, work)
+    run_in_memory(tmp_path, work)
 
 
 def test_a_job_that_is_ended_at_its_host_says_so(tmp_path):
@@ -502,7 +504,7 @@
                 and owner.standing(late).reason == "ended by its owner"
             )
 
-    in_memory(tmp_path, work, habits="setup=0.1 life=50")
+    run_in_memory(tmp_path, work, habits="setup=0.1 life=50")
 
 
 def test_an_order_that_met_a_dead_controller_is_followed_when_it_is_back(tmp_path):
@@ -519,7 +521,7 @@
             with anyio.fail_after(20):
                 assert (await owner.until_over(key)).stage == "done"
 
-    in_memory(tmp_path, work)
+    run_in_memory(tmp_path, work)
 
 
 def test_a_press_feed_host_that_is_silent_over_a_restart_while_probes_succeed(tmp_path):
@@ -544,7 +546,7 @@
         assert len(copies) == len(set(copies))
         return {standing.stage for standing in found}
 
-    assert in_memory(tmp_path, work, habits="setup=0.1 life=50") <= {"placed", "running", "written off"}
+    assert run_in_memory(tmp_path, work, habits="setup=0.1 life=50") <= {"placed", "running", "written off"}
 
 
 def test_random_kills_with_hundreds_of_jobs_in_flight(tmp_path):
@@ -581,7 +583,7 @@
                 assert standing.stage != "unknown", standing
         return len(found)
 
-    assert in_memory(tmp_path, work, hosts=20, habits="setup=0.05 life=0.5 look=0.002") >= 390
+    assert run_in_memory(tmp_path, work, hosts=20, habits="setup=0.05 life=0.5 look=0.002") >= 390
 
 
 def test_a_bulk_of_ten_thousand_is_taken_once_each(tmp_path):
@@ -596,7 +598,7 @@
             await again.order(keys[0], RELEASE)
             assert (await again.until_over(keys[0])).stage == "done"
 
-    in_memory(tmp_path, work)
+    run_in_memory(tmp_path, work)
 
 
 def test_a_bulk_that_is_refused_midway_leaves_nothing_behind(tmp_path):
@@ -606,7 +608,7 @@
                 await owner.submit_many([(WEB, f"b.{i}", None) for i in range(30)], hold=True, within=2.0)
             assert not ground.servers["c1"].engine.taken
 
-    in_memory(tmp_path, work, cluster=PAIR.replace("held = 20000", "held = 20"))
+    run_in_memory(tmp_path, work, cluster=PAIR.replace("held = 20000", "held = 20"))
 
 
 def test_a_bulk_that_meets_a_dead_controller_times_out_by_name(tmp_path):
@@ -618,7 +620,7 @@
             with pytest.raises(TimeoutError):
                 await owner.submit_many([(FEED, f"b.{i}", None) for i in range(3)], within=1.0)
 
-    in_memory(tmp_path, work)
+    run_in_memory(tmp_path, work)
 
 
 def test_a_full_journal_turns_jobs_away_and_sees_through_what_is_taken(tmp_path):
@@ -644,7 +646,7 @@
                 await owner.until_over(await owner.submit(FEED, work=big))
             ).stage == "done"  # it has room again
 
-    in_memory(tmp_path, work, cluster=PAIR + "\njournal {\n most = 1100000\n}\n")
+    run_in_memory(tmp_path, work, cluster=PAIR + "\njournal {\n most = 1100000\n}\n")
 
 
 def test_keys_guard_sessions_over_the_wire(tmp_path):
@@ -670,7 +672,7 @@
         )
         + "clients {\n keys_needed = true\n}\n"
     )
-    in_memory(tmp_path, work, cluster=cluster)
+    run_in_memory(tmp_path, work, cluster=cluster)
 
 
 def test_thousands_of_jobs_go_back_to_the_module_some_a_turn():
@@ -681,18 +683,18 @@
             for n in range(200)
         ]
     )
-    d.list(list(d.engine.fleet.hosts), 0.1)
+    d.list_hosts(list(d.engine.fleet.hosts), 0.1)
     first = len(d.engine.module.waiting) + len(d.engine.by_job)
     assert 0 < first <= 20 and d.engine.next_due() <= 0.1
     order(d, 0.1, "HOLD", "k199")  # while it is on its way back
-    d.rest(0.2)
-    assert len(d.engine.module.tracks) >= 195 and "c.1.199" not in d.engine.module.tracks
+    d.advance(0.2)
+    assert len(d.engine.module.tracked_jobs) >= 195 and "c.1.199" not in d.engine.module.tracked_jobs
     order(d, 0.3, "RELEASE", "k199")
-    assert "c.1.199" in d.engine.module.tracks
+    assert "c.1.199" in d.engine.module.tracked_jobs
 
 
 def test_hosts_that_owners_wait_for_are_asked_first():
     d = recovered(open_jobs=[OpenJob("s", "k", JOB, 5.0, (OldLaunch(on.LaunchId(1, 4), "h29", 1),))])
     d.engine.asking.waiting.clear()
-    asked = d.only(do.OpenLink, d.list([f"h{n:02}" for n in range(30)], 0.1))
+    asked = d.of_type(do.OpenLink, d.list_hosts([f"h{n:02}" for n in range(30)], 0.1))
     assert asked[0].host == "h29"
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -10,7 +10,7 @@
 from linedeal.net import FrameError
 from linedeal.platform import bus, hosts, owners
 from linedeal.platform.hosts import Code, Type
-from tests.platform import SETTINGS
+from tests.platform_fixture import SETTINGS
 
 ID = "9b1f03aa5c7e2d41"
 TEXT = st.text(st.characters(codec="utf-8", exclude_categories=["Cs"]), max_size=40)
