--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -26,7 +26,18 @@
 from linedeal.platform.descriptors import Descriptors
 from linedeal.platform.hosts import Type
 from linedeal.platform.log import Log
-from tests.platform import SDP, SETUP, Bus, Host, answer, file_of, ground, in_stock, parsed, release
+from tests.platform_fixture import (
+    SDP,
+    SETUP,
+    Bus,
+    Host,
+    answer,
+    config_file,
+    platform_cluster,
+    running_job_count,
+    parsed_config,
+    release,
+)
 
 pytestmark = pytest.mark.anyio
 A, B, C = "00000000000000a1", "00000000000000b2", "00000000000000c3"
@@ -62,13 +73,13 @@
             await stream.send(answer(frame.task))
         return True
 
-    async with ground(tmp_path, log, {"h1": Host(script)}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host(script)}) as g:
         owner = await g.client()
         await owner.setup(A, "feed")
-        await owner.until("answer", A)
-        assert len(g.hosts["h1"].sent(Type.SETUP)) == 2 and streams[0] is not streams[1]
+        await owner.wait_for("answer", A)
+        assert len(g.hosts["h1"].received(Type.SETUP)) == 2 and streams[0] is not streams[1]
         await streams[1].send(release(bytes.fromhex(A), 16))
-        assert (await owner.until("release", A))[2] == 16
+        assert (await owner.wait_for("release", A))[2] == 16
 
 
 async def test_what_comes_of_a_launch_that_was_given_up_says_nothing_of_the_next(tmp_path, log):
@@ -86,15 +97,19 @@
             await stream.send(release(task, 31))
         return True
 
-    async with ground(tmp_path, log, {"h1": Host(script)}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host(script)}) as g:
         owner, host = await g.client(), g.hosts["h1"]
         await owner.setup(A, left="6000")
-        assert (await owner.until("answer", A, 6.0))[3] == "second"
+        assert (await owner.wait_for("answer", A, 6.0))[3] == "second"
         await owner.send("ping", B, cause=0)
-        await owner.until("pong", B)
-        assert len(host.sent(Type.SETUP)) == 2 and in_stock(g.service, "h1") == 1 and len(owner.said) == 2
+        await owner.wait_for("pong", B)
+        assert (
+            len(host.received(Type.SETUP)) == 2
+            and running_job_count(g.service, "h1") == 1
+            and len(owner.received) == 2
+        )
         await streams[1].send(release(task, 41))  # this one is about what stands
-        assert (await owner.until("release", A))[2] == 41
+        assert (await owner.wait_for("release", A))[2] == 41
 
 
 # -- hosts that go, and connections to them
@@ -116,21 +131,21 @@
 async def test_what_waits_for_a_connection_to_a_host_that_goes_is_not_sent_there(tmp_path, log, monkeypatch):
     # another host may listen at its address by then, cold
     net = HeldBack()
-    async with ground(tmp_path, log, {"h1": Host(), "h2": Host()}, net=net) as g:
-        g.bus.tell(g.server("h2", "DRAINING"))
-        await g.within(2, lambda: g.service.engine.fleet.hosts["h2"].listed.mode is api.Mode.DRAINING)
+    async with platform_cluster(tmp_path, log, {"h1": Host(), "h2": Host()}, net=net) as g:
+        g.bus.publish(g.server_entry("h2", "DRAINING"))
+        await g.wait_until(2, lambda: g.service.engine.fleet.hosts["h2"].listed.mode is api.Mode.DRAINING)
         net.port = g.hosts["h1"].port
         owner = await g.client()
         await owner.setup(A, "feed")
         with anyio.fail_after(2):
             await net.begun.wait()
-        g.bus.tell(g.server("h1", "DELETED"), g.server("h2"))
-        await g.within(
+        g.bus.publish(g.server_entry("h1", "DELETED"), g.server_entry("h2"))
+        await g.wait_until(
             2, lambda: "h1" in g.service.engine.fleet.gone or "h1" not in g.service.engine.fleet.hosts
         )
         net.come.set()
-        await owner.until("answer", A)
-        assert not g.hosts["h1"].sent(Type.SETUP) and len(g.hosts["h2"].sent(Type.SETUP)) == 1
+        await owner.wait_for("answer", A)
+        assert not g.hosts["h1"].received(Type.SETUP) and len(g.hosts["h2"].received(Type.SETUP)) == 1
 
 
 async def test_a_labelled_job_that_may_have_run_does_not_leave_once_its_mark_is_forgotten(tmp_path, log):
@@ -144,22 +159,22 @@
             return True
 
     classes = [item | {"window_ms": 200.0} for item in SETUP["classes"]]
-    async with ground(
+    async with platform_cluster(
         tmp_path, log, {"h1": Host(script), "h2": Host()}, net=net, setup=SETUP | {"classes": classes}
     ) as g:
-        g.bus.tell(g.server("h2", "DRAINING"))
-        await g.within(2, lambda: g.service.engine.fleet.hosts["h2"].listed.mode is api.Mode.DRAINING)
+        g.bus.publish(g.server_entry("h2", "DRAINING"))
+        await g.wait_until(2, lambda: g.service.engine.fleet.hosts["h2"].listed.mode is api.Mode.DRAINING)
         net.port = g.hosts["h2"].port
         owner = await g.client()
         await owner.setup(A, "mail")
-        await g.within(2, lambda: ran)
-        g.bus.tell(g.server("h2"))
+        await g.wait_until(2, lambda: ran)
+        g.bus.publish(g.server_entry("h2"))
         with anyio.fail_after(1):
             await net.begun.wait()  # decided on
-        await g.within(1, lambda: anyio.current_time() > ran[0] + 0.2)
+        await g.wait_until(1, lambda: anyio.current_time() > ran[0] + 0.2)
         net.come.set()
-        assert (await owner.until("release", A, 5.0))[2] == 47
-        assert not g.hosts["h2"].sent(Type.SETUP)
+        assert (await owner.wait_for("release", A, 5.0))[2] == 47
+        assert not g.hosts["h2"].received(Type.SETUP)
 
 
 async def test_a_launch_is_given_up_only_once_its_connection_is_closed(tmp_path, log, monkeypatch):
@@ -176,19 +191,19 @@
             await stream.send(b"\xff" * 40)
             return True
 
-    async with ground(tmp_path, log, {"h1": Host(garbles), "h2": Host()}) as g:
-        g.bus.tell(g.server("h2", "DRAINING"))
-        await g.within(2, lambda: g.service.engine.fleet.hosts["h2"].listed.mode is api.Mode.DRAINING)
+    async with platform_cluster(tmp_path, log, {"h1": Host(garbles), "h2": Host()}) as g:
+        g.bus.publish(g.server_entry("h2", "DRAINING"))
+        await g.wait_until(2, lambda: g.service.engine.fleet.hosts["h2"].listed.mode is api.Mode.DRAINING)
         owner, launches = await g.client(), g.service.engine.launches
         await owner.setup(A)
-        await g.within(2, lambda: g.hosts["h1"].sent(Type.SETUP))
-        g.bus.tell(g.server("h2"))
-        await g.within(2, lambda: any(launch.state is State.RECALLED for launch in launches.values()))
+        await g.wait_until(2, lambda: g.hosts["h1"].received(Type.SETUP))
+        g.bus.publish(g.server_entry("h2"))
+        await g.wait_until(2, lambda: any(launch.state is State.RECALLED for launch in launches.values()))
         await owner.send("ping", B, cause=0)
-        await owner.until("pong", B)
-        assert not g.hosts["h2"].sent(Type.SETUP)
+        await owner.wait_for("pong", B)
+        assert not g.hosts["h2"].received(Type.SETUP)
         held.set()
-        await owner.until("answer", A)
+        await owner.wait_for("answer", A)
 
 
 async def test_a_launch_that_is_out_as_its_job_expires_is_given_up_like_any_other(tmp_path, log, monkeypatch):
@@ -196,13 +211,13 @@
     # the launch still out, and that ended the program
     monkeypatch.setattr(hostlink, "LOOK", 0.001)
     monkeypatch.setattr(engine, "STALL_SEEN", -1.0)
-    async with ground(tmp_path, log, {"h1": Host(silent)}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host(silent)}) as g:
         owner = await g.client()
         await owner.setup(A, "feed", left="300")
-        await owner.until("release", A)
-        await g.within(2, lambda: g.hosts["h1"].sent(Type.RELEASE))
+        await owner.wait_for("release", A)
+        await g.wait_until(2, lambda: g.hosts["h1"].received(Type.RELEASE))
         await owner.send("ping", C, cause=0)
-        await owner.until("pong", C)
+        await owner.wait_for("pong", C)
 
 
 async def test_an_answer_that_comes_with_the_close_counts(tmp_path, log):
@@ -212,10 +227,10 @@
             await stream.aclose()
             return True
 
-    async with ground(tmp_path, log, {"h1": Host(and_closes)}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host(and_closes)}) as g:
         owner = await g.client()
         await owner.setup(A, "feed")
-        assert (await owner.until("answer", A))[3] == SDP + "host\r\n"
+        assert (await owner.wait_for("answer", A))[3] == SDP + "host\r\n"
 
 
 async def test_a_host_that_speaks_without_end_of_nothing_loses_that_connection_alone(tmp_path, log):
@@ -227,36 +242,36 @@
             except (anyio.BrokenResourceError, anyio.ClosedResourceError):
                 return True
 
-    async with ground(tmp_path, log, {"h1": Host(raves), "h2": Host()}) as g:
-        g.bus.tell(g.server("h2", "DRAINING"))
-        await g.within(2, lambda: g.service.engine.fleet.hosts["h2"].listed.mode is api.Mode.DRAINING)
+    async with platform_cluster(tmp_path, log, {"h1": Host(raves), "h2": Host()}) as g:
+        g.bus.publish(g.server_entry("h2", "DRAINING"))
+        await g.wait_until(2, lambda: g.service.engine.fleet.hosts["h2"].listed.mode is api.Mode.DRAINING)
         owner = await g.client()
         await owner.setup(A)
-        await g.within(2, lambda: g.hosts["h1"].sent(Type.SETUP))
-        g.bus.tell(g.server("h2"))
+        await g.wait_until(2, lambda: g.hosts["h1"].received(Type.SETUP))
+        g.bus.publish(g.server_entry("h2"))
         await owner.setup(B, service="other")
-        await owner.until("answer", B)
-        await owner.until("answer", A, 5.0)
+        await owner.wait_for("answer", B)
+        await owner.wait_for("answer", A, 5.0)
         assert not any(connection.out for connection in g.service.hosts["h1"].connections)
 
 
 async def test_a_connection_lost_while_jobs_stand_is_opened_again_though_others_serve(tmp_path, log):
     # what the host said on the lost one it says again on the next that opens: with none, an end is never told
-    async with ground(tmp_path, log, {"h1": Host()}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host()}) as g:
         owner, host = await g.client(), g.hosts["h1"]
         for n in range(8):
             await owner.setup("%016x" % n)
         for n in range(8):
-            await owner.until("answer", "%016x" % n)
-        await g.within(
+            await owner.wait_for("answer", "%016x" % n)
+        await g.wait_until(
             2, lambda: len(g.service.hosts["h1"].connections) > 1 and not g.service.hosts["h1"].opening
         )
         known = list(host.streams)
         await anyio.aclose_forcefully(known[0])
-        await g.within(2, lambda: any(stream not in known for stream in host.streams))
+        await g.wait_until(2, lambda: any(stream not in known for stream in host.streams))
         (fresh,) = [stream for stream in host.streams if stream not in known]
         await fresh.send(release(bytes.fromhex("%016x" % 3), 16))
-        assert (await owner.until("release", "%016x" % 3))[2] == 16
+        assert (await owner.wait_for("release", "%016x" % 3))[2] == 16
 
 
 # -- client disconnect and cancellation
@@ -305,21 +320,21 @@
 @pytest.mark.parametrize("how", ["cancels", "closes"])
 async def test_a_client_that_goes_behind_bad_messages_is_heard_at_once(tmp_path, log, raw_owner, how):
     # each bad message costs its connection a pause, in which a host comes that the job waits for
-    async with ground(tmp_path, log, {"h1": Host(), "h2": Host()}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host(), "h2": Host()}) as g:
         for name in g.hosts:
-            g.bus.tell(g.server(name, "DRAINING"))
-        await g.within(2, lambda: not g.service.engine.module.serving)
+            g.bus.publish(g.server_entry(name, "DRAINING"))
+        await g.wait_until(2, lambda: not g.service.engine.module.serving_hosts)
         leaver, stayer = raw_owner(g.address), await g.client()
         leaver.sendall(setup_line(A))
-        await g.within(2, lambda: A in g.service.route.tasks and g.service.route.tasks[A].job)
+        await g.wait_until(2, lambda: A in g.service.route.tasks and g.service.route.tasks[A].job)
         leaver.sendall(BAD * 15 + (release_line(A) if how == "cancels" else b""))
         if how == "closes":
             leaver.close()
-        await g.within(2, lambda: g.service.owners.counts["refused as read"] >= 1)
-        g.bus.tell(g.server("h1"))
+        await g.wait_until(2, lambda: g.service.owners.counts["refused as read"] >= 1)
+        g.bus.publish(g.server_entry("h1"))
         await stayer.setup(C)
-        await stayer.until("answer", C)
-        assert [frame.task.hex() for frame in g.hosts["h1"].sent(Type.SETUP)] == [C]
+        await stayer.wait_for("answer", C)
+        assert [frame.task.hex() for frame in g.hosts["h1"].received(Type.SETUP)] == [C]
 
 
 @pytest.mark.parametrize("how", ["cancels", "closes"])
@@ -327,10 +342,10 @@
     tmp_path, log, raw_owner, monkeypatch, how
 ):
     # the turn that decides on the launch reads nothing meanwhile: the word lies in the socket as the launch is written
-    async with ground(tmp_path, log, {"h1": Host()}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host()}) as g:
         stayer, leaver = await g.client(), raw_owner(g.address)
         await stayer.setup(B)
-        await stayer.until("answer", B)
+        await stayer.wait_for("answer", B)
         turn = g.service.engine.turn
 
         def long_turn(now):
@@ -343,11 +358,11 @@
 
         monkeypatch.setattr(g.service.engine, "turn", long_turn)
         leaver.sendall(setup_line(A))
-        await g.within(2, lambda: g.service.engine.counts["launches"] == 2)
-        await g.within(2, lambda: A not in g.service.route.tasks)
+        await g.wait_until(2, lambda: g.service.engine.counts["launches"] == 2)
+        await g.wait_until(2, lambda: A not in g.service.route.tasks)
         await stayer.setup(C)
-        await stayer.until("answer", C)
-        assert [frame.task.hex() for frame in g.hosts["h1"].sent(Type.SETUP)] == [B, C]
+        await stayer.wait_for("answer", C)
+        assert [frame.task.hex() for frame in g.hosts["h1"].received(Type.SETUP)] == [B, C]
 
 
 async def test_a_client_that_closed_has_gone_before_its_socket_is_closed_here(tmp_path, log, monkeypatch):
@@ -357,24 +372,24 @@
         await held.wait()
         await close(link)
 
-    async with ground(tmp_path, log, {"h1": Host(), "h2": Host()}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host(), "h2": Host()}) as g:
         for name in g.hosts:
-            g.bus.tell(g.server(name, "DRAINING"))
-        await g.within(2, lambda: not g.service.engine.module.serving)
+            g.bus.publish(g.server_entry(name, "DRAINING"))
+        await g.wait_until(2, lambda: not g.service.engine.module.serving_hosts)
         owner = await g.client()
         await owner.setup(A)
-        await g.within(2, lambda: g.service.engine.taken)
+        await g.wait_until(2, lambda: g.service.engine.taken)
         monkeypatch.setattr(Link, "close", slow)
         await owner.stream.aclose()
-        await g.within(2, lambda: not g.service.engine.taken)
+        await g.wait_until(2, lambda: not g.service.engine.taken)
         assert g.service.owners.closing == 1 and g.service.descriptors.owners == 1  # it still holds one
         held.set()
-        await g.within(2, lambda: not g.service.descriptors.owners)
+        await g.wait_until(2, lambda: not g.service.descriptors.owners)
 
 
 async def test_a_yes_for_a_client_that_goes_in_the_same_turn_is_ended_at_its_host(tmp_path, log, monkeypatch):
     # the engine has answered it, and no owner knows of what stands
-    async with ground(tmp_path, log, {"h1": Host()}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host()}) as g:
         owner, turn = await g.client(), g.service.engine.turn
 
         def and_goes(now):
@@ -386,20 +401,20 @@
 
         monkeypatch.setattr(g.service.engine, "turn", and_goes)
         await owner.setup(A)
-        await g.within(2, lambda: g.hosts["h1"].sent(Type.RELEASE))
-        await g.within(2, lambda: not g.hosts["h1"].standing and not in_stock(g.service, "h1"))
+        await g.wait_until(2, lambda: g.hosts["h1"].received(Type.RELEASE))
+        await g.wait_until(2, lambda: not g.hosts["h1"].running and not running_job_count(g.service, "h1"))
 
 
 async def test_what_a_client_said_of_standing_jobs_counts_though_it_closed_at_once(tmp_path, log, raw_owner):
-    async with ground(tmp_path, log, {"h1": Host()}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host()}) as g:
         first, second = await g.client(), raw_owner(g.address)
         await first.setup(A)
-        await first.until("answer", A)
+        await first.wait_for("answer", A)
         second.sendall(
             BAD * 3 + json.dumps({"type": "release", "id": A, "fields": {}, "cause": 31}).encode() + b"\n"
         )
         second.close()
-        await g.within(2, lambda: not g.hosts["h1"].standing)
+        await g.wait_until(2, lambda: not g.hosts["h1"].running)
 
 
 @pytest.mark.parametrize("bad", [0, 6])
@@ -407,10 +422,10 @@
     tmp_path, log, raw_owner, monkeypatch, bad
 ):
     # `left` counts from when it was sent: reckoned from when it was read, or taken, the answer came after its owner's time
-    async with ground(tmp_path, log, {"h1": Host(silent)}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host(silent)}) as g:
         owner, turn, sent = raw_owner(g.address), g.service.engine.turn, []
         owner.sendall(json.dumps({"type": "ping", "id": B, "fields": {}, "cause": 0}).encode() + b"\n")
-        await g.within(2, lambda: any(link.usual for link in g.service.owners.links.values()))
+        await g.wait_until(2, lambda: any(link.usual for link in g.service.owners.links.values()))
 
         def long_turn(now):
             if not sent:
@@ -421,7 +436,7 @@
 
         monkeypatch.setattr(g.service.engine, "turn", long_turn)
         g.service.inbox.arrived.set()
-        await g.within(2, lambda: g.service.engine.taken)
+        await g.wait_until(2, lambda: g.service.engine.taken)
         (taken,) = g.service.engine.taken.values()
         assert sent[0] + 2.9 <= taken.job.expiry <= sent[0] + 3.0 + 0.03
 
@@ -437,7 +452,7 @@
     tmp_path, log, raw_owner
 ):
     # accepted, set up and read in rounds of their own: each as slow as the loop is
-    async with ground(tmp_path, log, {"h1": Host(silent)}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host(silent)}) as g:
 
         def come():
             owner = raw_owner(g.address)
@@ -459,7 +474,7 @@
     tmp_path, log, raw_owner
 ):
     # one after the other, some rounds each, the last ones' jobs have lost the most of their time before they are read
-    async with ground(tmp_path, log, {"h1": Host(silent)}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host(silent)}) as g:
 
         def come():
             sent = time.monotonic()
@@ -491,7 +506,7 @@
                 await anyio.sleep(0)
         return await from_socket(sock)
 
-    async with ground(tmp_path, log, {"h1": Host()}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host()}) as g:
         monkeypatch.setattr(anyio.abc.SocketStream, "from_socket", once_reset)
         gone = raw_owner(g.address)
         gone.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -500,15 +515,15 @@
             gone.close()
         owner = await g.client()
         await owner.setup(B)
-        await owner.until("answer", B)
-        await g.within(2, lambda: g.service.descriptors.owners == 1)
+        await owner.wait_for("answer", B)
+        await g.wait_until(2, lambda: g.service.descriptors.owners == 1)
 
 
 async def test_more_connections_that_come_at_once_than_descriptors_leave_room_for_dials(
     tmp_path, log, raw_owner
 ):
     # all that wait are accepted in one round, before any of them can be let go of; a dial must not find none left
-    async with ground(tmp_path, log, {"h1": Host(), "h2": Host()}, sockets=64) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host(), "h2": Host()}, sockets=64) as g:
         taken, most = g.service.descriptors, []
         tell = taken.tell
 
@@ -518,12 +533,12 @@
 
         taken.tell = told
         idle = [raw_owner(g.address) for _ in range(150)]  # in the backlog: the loop stands still meanwhile
-        await g.within(2, lambda: taken.owners >= taken.budget // 2)
-        g.bus.tell(g.server("h1", "DRAINING"))
+        await g.wait_until(2, lambda: taken.owners >= taken.budget // 2)
+        g.bus.publish(g.server_entry("h1", "DRAINING"))
         for number in range(12):  # let in though idle ones stand before them
             owner = await g.client()
             await owner.setup("%016x" % number)
-            await owner.until("answer", "%016x" % number, 8)
+            await owner.wait_for("answer", "%016x" % number, 8)
         assert max(most) <= taken.budget + 8 and len(idle) == 150
 
 
@@ -550,7 +565,7 @@
 ):
     # the word that gives the launch up takes some turns more: as long as the loop is slow, and the answer came too late
     setup = SETUP | {"domain": SETUP["domain"] | {"confirms": "running"}}
-    controller = engine.Engine(parsed(setup=setup).cluster, "n1", 1, 5, 0.0, accounts_given=False)
+    controller = engine.Engine(parsed_config(setup=setup).cluster, "n1", 1, 5, 0.0, accounts_given=False)
     controller.begin()
     controller.put(
         on.ListHeard(
@@ -586,11 +601,11 @@
     tmp_path, log, raw_owner, said
 ):
     # its owner sends it again only where it crosses the close within 50 ms; here it has lain for however long
-    async with ground(tmp_path, log, {"h1": Host()}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host()}) as g:
         owner = raw_owner(g.address)
         if said:
             owner.sendall(json.dumps({"type": "ping", "id": B, "fields": {}, "cause": 0}).encode() + b"\n")
-        await g.within(
+        await g.wait_until(
             2,
             lambda: (
                 g.service.owners.links and (not said or next(iter(g.service.owners.links.values())).usual)
@@ -599,7 +614,7 @@
         (link,) = g.service.owners.links.values()
         owner.sendall(setup_line(A))
         assert not await g.service.owners.close_idle(link, "it says nothing of use")
-        await g.within(2, lambda: A in g.service.route.tasks and g.service.route.tasks[A].stands)
+        await g.wait_until(2, lambda: A in g.service.route.tasks and g.service.route.tasks[A].stands)
 
 
 # -- the event bus
@@ -608,16 +623,16 @@
 async def test_what_was_read_ahead_of_a_move_is_told(tmp_path, log, monkeypatch):
     # the number went on, and the bus does not tell it again
     second = Bus()
-    async with ground(tmp_path, log, {"h1": Host(), "h2": Host()}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host(), "h2": Host()}) as g:
         await g.tasks.start(second.run)
         monkeypatch.setattr(inbox, "MOST", 0)  # as full as can be: who waits for room in it waits
-        g.bus.tell(g.server("h2", "DRAINING"))
-        await g.within(2, lambda: g.service.feed.number == 2)
+        g.bus.publish(g.server_entry("h2", "DRAINING"))
+        await g.wait_until(2, lambda: g.service.feed.number == 2)
         second.events = list(g.bus.events)
-        g.path.write_text(json.dumps(file_of(second.address, g.bus.known())))
+        g.path.write_text(json.dumps(config_file(second.address, g.bus.known())))
         g.service.reload()
         monkeypatch.undo()
-        await g.within(2, lambda: second.calls)
+        await g.wait_until(2, lambda: second.calls)
         assert second.calls[0] == 2
         assert g.service.engine.fleet.hosts["h2"].listed.mode is api.Mode.DRAINING
 
@@ -649,10 +664,10 @@
     # its answer is queued behind a write that goes on: ending then would lose it with its connection
     monkeypatch.setattr(service, "COMING", 0.2)
     flushed, read = [], anyio.Event()
-    async with ground(tmp_path, log, {"h1": Host(silent)}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host(silent)}) as g:
         owner = await g.client()
         await owner.setup(A, left="600")
-        await g.within(2, lambda: g.service.engine.taken)
+        await g.wait_until(2, lambda: g.service.engine.taken)
         (link,) = g.service.owners.links.values()
         send, flush = link.link.send, g.service.owners.flush
 
@@ -670,8 +685,8 @@
         os.kill(os.getpid(), signal.SIGTERM)
         os.kill(os.getpid(), signal.SIGHUP)  # a reload meanwhile, and a second word to end, change nothing
         os.kill(os.getpid(), signal.SIGTERM)
-        await owner.until("release", A, 4.0)
-        await g.within(2, owner.closed.is_set)
+        await owner.wait_for("release", A, 4.0)
+        await g.wait_until(2, owner.closed.is_set)
 
 
 @pytest.mark.parametrize("rounds", [0, 6])
@@ -688,7 +703,7 @@
         return await from_socket(sock)
 
     monkeypatch.setattr(anyio.abc.SocketStream, "from_socket", later)
-    async with ground(tmp_path, log, {"h1": Host()}) as g:
+    async with platform_cluster(tmp_path, log, {"h1": Host()}) as g:
         owner, flush = raw_owner(g.address), g.service.owners.flush
         sent = []
 
@@ -702,7 +717,7 @@
 
         g.service.owners.flush = and_then
         os.kill(os.getpid(), signal.SIGTERM)
-        await g.within(3, lambda: len(sent) == (1 if rounds else 2))
+        await g.wait_until(3, lambda: len(sent) == (1 if rounds else 2))
         for one in sent:  # by now it takes no more, and says so
             one.settimeout(2)
             assert b'"cause":34' in await anyio.to_thread.run_sync(one.recv, 4096)
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -14,7 +14,7 @@
 from linedeal.settings.cluster import parse_cluster
 from linedeal.state import Store, StoreFault
 from linedeal.state.journal import Journal, JournalFull, to_keep
-from tests.drive import CLUSTER, Drive
+from tests.engine_driver import CLUSTER, EngineDriver
 
 JOB = api.Job("c.1.1", "feed", "", "s", 1.0, 1.0, 9.0)
 OLD = OldLaunch(on.LaunchId(1, 1), "a", 5)  # nothing is known of when it was sent
@@ -163,25 +163,25 @@
     # by the timers of this life or of the next: nothing else looks through the journal
     store = Store(tmp_path)
     journal = Journal(store)
-    d = Drive(life=1)
+    d = EngineDriver(life=1)
 
     def step(effects, now):
         journal.write(now, d.engine.life, to_keep(effects))
 
     for i in range(5):
-        sent = d.turn(1.0, on.Submitted(1, f"k{i}", "web", "", "v", 1.0, 1.0, 0.0, "s"))
+        sent = d.step(1.0, on.Submitted(1, f"k{i}", "web", "", "v", 1.0, 1.0, 0.0, "s"))
         step(sent, 1.0)
-        launch = d.only(do.SendLaunch, sent)[0]
-        step(d.turn(1.1, on.Accepted(launch.host, on.LaunchId(1, launch.number))), 1.1)
+        launch = d.of_type(do.SendLaunch, sent)[0]
+        step(d.step(1.1, on.Accepted(launch.host, on.LaunchId(1, launch.number))), 1.1)
     rows = "SELECT (SELECT count(*) FROM jobs) + (SELECT count(*) FROM launches)"
     begun = 0.0
     monkeypatch.setattr(sessions, "KEPT_MOST", most)
     if killed_at:
         found = journal.read(killed_at, 6.0)
-        d, begun = Drive(life=2), killed_at
+        d, begun = EngineDriver(life=2), killed_at
         d.engine.recover(found.open, found.answers)
     for now in (begun + 1.0, begun + 200.0, begun + 700.0):
-        step(d.rest(now - begun), now)
+        step(d.advance(now - begun), now)
         if now == begun + 1.0 and killed_at != 5000.0:
             assert journal.db.execute(rows).fetchone() == (2 * min(most, 5),)
     assert journal.db.execute(rows).fetchone() == (0,)
@@ -192,44 +192,44 @@
 
 
 def ask(d, now, offering="web", client=1, key="k", session="s", cores=1.0):
-    return d.turn(now, on.Submitted(client, key, offering, "", "v", cores, 1.0, 0.0, session))
+    return d.step(now, on.Submitted(client, key, offering, "", "v", cores, 1.0, 0.0, session))
 
 
 def test_a_sessions_job_is_kept_before_it_shows():
-    d = Drive()
+    d = EngineDriver()
     effects = ask(d, 1.0)
     assert [type(effect) for effect in to_keep(effects)] == [do.Take, do.SendLaunch]
     assert not to_keep(d.submit(1.0, key="other"))  # without a session nothing is kept
 
 
 def test_the_same_key_joins_and_other_content_is_a_fault():
-    d = Drive()
-    first = d.only(do.Take, ask(d, 1.0))[0]
+    d = EngineDriver()
+    first = d.of_type(do.Take, ask(d, 1.0))[0]
     again = ask(d, 1.1, client=2)
     assert [(type(e), e.client, getattr(e, "job", "")) for e in again] == [(do.Take, 2, first.job)]
-    assert d.only(do.TurnAway, ask(d, 1.2, client=2, cores=2.0))
+    assert d.of_type(do.TurnAway, ask(d, 1.2, client=2, cores=2.0))
     sent = d.engine.by_job[first.job]
-    answers = d.only(do.Answer, d.turn(1.3, on.Accepted(sent.host, sent.id)))
+    answers = d.of_type(do.Answer, d.step(1.3, on.Accepted(sent.host, sent.id)))
     assert [(answer.client, answer.keep) for answer in answers] == [(2, True)]
 
 
 def test_a_client_that_leaves_finds_its_answer_until_it_has_seen_it():
-    d = Drive()
-    job = d.only(do.Take, ask(d, 1.0))[0].job
-    assert not d.only(do.SendStop, d.turn(1.1, on.ClientLeft(1)))
+    d = EngineDriver()
+    job = d.of_type(do.Take, ask(d, 1.0))[0].job
+    assert not d.of_type(do.SendStop, d.step(1.1, on.ClientLeft(1)))
     sent = d.engine.by_job[job]
-    d.turn(1.2, on.Accepted(sent.host, sent.id))
-    answer = d.only(do.Answer, ask(d, 2.0, client=7))[0]
+    d.step(1.2, on.Accepted(sent.host, sent.id))
+    answer = d.of_type(do.Answer, ask(d, 2.0, client=7))[0]
     assert (answer.client, answer.verdict, answer.job) == (7, do.Verdict.PLACED, job)
-    assert d.turn(2.1, on.AnswerSeen("s", "k")) == [do.KeepNoMore(job)]
-    assert d.only(do.Take, ask(d, 2.2, client=7))[0].job != job  # confirmed: the key is free
+    assert d.step(2.1, on.AnswerSeen("s", "k")) == [do.KeepNoMore(job)]
+    assert d.of_type(do.Take, ask(d, 2.2, client=7))[0].job != job  # confirmed: the key is free
 
 
 def test_a_refusal_is_known_to_the_next_life():
-    d = Drive()
-    job = d.only(do.Take, ask(d, 1.0, "feed"))[0].job
+    d = EngineDriver()
+    job = d.of_type(do.Take, ask(d, 1.0, "feed"))[0].job
     sent = d.engine.by_job[job]
-    assert do.KeepVoid(sent.id) in d.turn(1.1, on.Refused(sent.host, sent.id, api.Why.CORES))
+    assert do.KeepVoid(sent.id) in d.step(1.1, on.Refused(sent.host, sent.id, api.Reason.CORES))
 
 
 # a kill at every step
--- a/tests/test_store_and_settings.py
+++ b/tests/test_store_and_settings.py
@@ -12,13 +12,13 @@
 from linedeal.cli import app
 from linedeal.engine import effects as do
 from linedeal.engine.events import ListedHost
-from linedeal.interface import Effect, Mode, Place
+from linedeal.interface import Effect, Mode, TopologyLevel
 from linedeal.lab.day import DayFault, parse_day
 from linedeal.settings import cluster as settings_cluster
 from linedeal.settings.cluster import ConfigFault, parse_cluster, read_cluster
 from linedeal.state import Store, StoreFault, steady, upgrade
 from linedeal.state.journal import Journal
-from tests.drive import CLUSTER as PLAIN
+from tests.engine_driver import CLUSTER as PLAIN
 
 HOST = ListedHost("h1", ("x:1",), "std", "z", 3, Mode.SERVING, 5, 100.0, 2.5, None)
 
@@ -77,7 +77,7 @@
 def test_the_example_is_sound():
     cluster = read_cluster("examples/cluster.hcl")
     assert cluster.settings.offerings["photo-book"].effect is Effect.LABELLED
-    assert cluster.settings.offerings["photo-book"].group is Place.ZONE
+    assert cluster.settings.offerings["photo-book"].dedup_level is TopologyLevel.ZONE
     assert cluster.settings.quotas == {"school": 120.0, "publisher": 160.0, "shop": 80.0}
     assert cluster.limits.held == 20000
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -12,8 +12,8 @@
 
 from linedeal.net import TcpNet
 from linedeal.platform.hosts import Type
-from tests.platform import SETUP, Bus, Client, Host, release
-from tests.processes import Processes
+from tests.platform_fixture import SETUP, Bus, OwnerClient, Host, release
+from tests.platform_processes import Processes
 
 pytestmark = pytest.mark.anyio
 COLD = 8.0  # seconds for which a host that has started is cold
@@ -91,7 +91,7 @@
     setup = settings(controllers, young_limit=float(limit), overload_for_ms=span * 1000, cold_ms=COLD * 1000)
     warm, cold = Host(), Recorder()
     async with place(tmp_path, {"warm": warm, "cold": cold}) as (bus, processes, tasks):
-        bus.tell(entry("warm", warm, "DRAINING"), full=True)
+        bus.publish(entry("warm", warm, "DRAINING"), full=True)
         fleet = [await processes.start(f"n{n}", bus.address, bus.known(), setup) for n in range(controllers)]
         numbers = iter(range(1, 1 << 30))
 
@@ -104,7 +104,7 @@
             await give(process, 24 if n % 3 == 0 else 3)
         await anyio.sleep(span + 0.2)  # past the first span, in which they send to no young host in any case
         began = time.monotonic()
-        bus.tell(entry("cold", cold, started=int(time.time() * 1000)))
+        bus.publish(entry("cold", cold, started=int(time.time() * 1000)))
         await anyio.sleep(1.2)
         for n in random.sample(range(controllers), 8):
             fleet[n].child.kill()
@@ -132,7 +132,7 @@
 
     recorders = {f"h{n}": Recorder(does) for n in range(12)}
     async with place(tmp_path, recorders) as (bus, processes, tasks):
-        bus.tell(*(entry(name, host) for name, host in recorders.items()), full=True)
+        bus.publish(*(entry(name, host) for name, host in recorders.items()), full=True)
         process = await processes.start("n0", bus.address, bus.known(), settings(1), sockets=2048)
         shared = [await processes.client(process) for _ in range(4)]
 
@@ -147,7 +147,7 @@
                 gone[task] = time.monotonic()
             else:
                 stream = await TcpNet().connect(process.address)
-                await Client(stream).setup(task)
+                await OwnerClient(stream).setup(task)
                 await anyio.sleep(random.uniform(0, 0.4))
                 await stream.aclose()
                 gone[task] = time.monotonic()
@@ -188,25 +188,25 @@
     most = 128
     recorders = {f"h{n}": Recorder() for n in range(70)}
     async with place(tmp_path, recorders, Down()) as (bus, processes, tasks):
-        bus.tell(entry("h0", recorders["h0"]), full=True)
+        bus.publish(entry("h0", recorders["h0"]), full=True)
         process = await processes.start(
-            "n0", bus.address, bus.known(), settings(1), sockets=most, most_files=most
+            "n0", bus.address, bus.known(), settings(1), sockets=most, max_files=most
         )
         worker = await processes.client(process)
         await worker.setup("%016x" % 1)
-        await worker.until("answer", "%016x" % 1)
+        await worker.wait_for("answer", "%016x" % 1)
         idle = []
         for n in range(400):
             stream = await TcpNet().connect(process.address)
             idle.append(stream)
             if n % 2:
-                await Client(stream).send("ping", "%016x" % 9, cause=0)
+                await OwnerClient(stream).send("ping", "%016x" % 9, cause=0)
         await anyio.sleep(0.6)  # they have had their time to speak
         fresh = await processes.client(process)  # accepted, and answered on the host that is known
         await fresh.setup("%016x" % 2)
-        await fresh.until("answer", "%016x" % 2)
+        await fresh.wait_for("answer", "%016x" % 2)
         bus.up = True  # discovery is back: 69 hosts to dial, idle clients come on
-        bus.tell(
+        bus.publish(
             *(
                 entry(name, host, "SERVING" if name != "h0" else "DRAINING")
                 for name, host in recorders.items()
@@ -217,9 +217,9 @@
             if n % 8 == 0:
                 idle.append(await TcpNet().connect(process.address))
         for n in range(10, 340):
-            await fresh.until("answer", "%016x" % n)
+            await fresh.wait_for("answer", "%016x" % n)
         assert sum(bool(host.came) for host in recorders.values()) >= 60
-        assert not process.said("fault") and not any(
+        assert not process.logged("fault") and not any(
             "Too many open files" in str(line) for line in process.log
         )
         assert len(os.listdir(f"/proc/{process.child.pid}/fd")) < most
@@ -253,7 +253,7 @@
             owner = await processes.client(process)
             for n in range(1, 300):
                 await owner.send("ping", "%016x" % n, cause=0)
-                if (await owner.until("pong", "%016x" % n, 30.0))[2] == 1:
+                if (await owner.wait_for("pong", "%016x" % n, 30.0))[2] == 1:
                     took.append(time.monotonic() - process.begun)
                     return
                 await anyio.sleep(0.1)
