--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -18,7 +18,7 @@
 import anyio
 
 from linedeal.controller.runtime import Runtime, Setup
-from linedeal.engine import effects as do
+from linedeal.engine import effects
 from linedeal.interface import Job
 from linedeal.lab.play import QUIET
 from linedeal.net.memory import MemoryNet
@@ -59,17 +59,17 @@
     at, held = clock.at(steady.monotonic()), {f"h{n:02}": [] for n in range(hosts)}
     before = (directory / "controller.db").stat().st_size
     for begin in range(0, jobs, 100):
-        effects = []
+        emitted = []
         for n in range(begin, min(begin + 100, jobs)):
             offering = ("web", "feed")[n % 2]
             job = Job(f"c.1.{n}", offering, "school", f"s{n % 50}", 1.0, 1.0, 60.0)
-            effects.append(do.Take(1, f"k{n}", job.id, "s", job, 60.0, follow=True))
+            emitted.append(effects.AcceptJob(1, f"k{n}", job.id, "s", job, 60.0, follow=True))
             if n % 10 < 8:
                 host = f"h{n % hosts:02}"
-                effects.append(do.SendLaunch(host, n, job, 3.0, 1, True))
+                emitted.append(effects.SendLaunch(host, n, job, 3.0, 1, True))
                 if n % 10 < 7:
                     held[host].append((n, job))
-        journal.write(at, 1, effects)
+        journal.write(at, 1, emitted)
     store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     size = (directory / "controller.db").stat().st_size - before
     store.close()
@@ -109,8 +109,8 @@
         await tasks.start(runtime.run)
         result["read and taking jobs"] = time.perf_counter() - began
         engine, worst = runtime.engine, 0.0
-        while engine.pending or engine.taken:
-            if not engine.pending and "decided" not in result:
+        while engine.unresolved or engine.unanswered:
+            if not engine.unresolved and "decided" not in result:
                 result["decided"] = time.perf_counter() - began
             mark = time.perf_counter()
             await anyio.sleep(0.001)
--- a/linedeal/controller/front.py
+++ b/linedeal/controller/front.py
@@ -8,8 +8,8 @@
 import anyio
 
 from linedeal.controller import owners, translate
-from linedeal.engine import events as on
-from linedeal.engine.admission import Shares
+from linedeal.engine import events
+from linedeal.engine.admission import FairShares
 from linedeal.loop import Inbox
 from linedeal.net import Address, Link, LinkLost, Net, until_lost
 from linedeal.protocol import VERSION, FrameReader, encode, pb
@@ -45,7 +45,7 @@
         self.clients: dict[int, Client] = {}
         self.numbers = 0
         self.strangers = 0  # links that have not said who they are
-        self.links = Shares()  # of each customer that has shown its key
+        self.links = FairShares()  # of each customer that has shown its key
         self.closing = False
 
     async def run(self, address: Address, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
@@ -79,7 +79,7 @@
             if known is not None:
                 self.links.add(client.proven, -1)
                 with anyio.CancelScope(shield=True):
-                    await self.inbox.post(on.ClientLeft(client.number))
+                    await self.inbox.post(events.ClientDisconnected(client.number))
         if why != "closed by the other side":
             self.log.warning("client let go", client=client.name or client.number, reason=why)
 
@@ -131,7 +131,7 @@
         nothing: then all are one customer's."""
         if not client.proven:
             return len(self.clients) < self.limits.clients
-        return self.links.may_take(client.proven, len(self.clients), self.limits.clients)
+        return self.links.admits(client.proven, len(self.clients), self.limits.clients)
 
     async def serve(self, client: Client) -> None:
         await until_lost(self.write(client), self.read(client), self.let_go(client))
@@ -154,15 +154,17 @@
             case pb.Submit():
                 return translate.submitted(client.number, client.session, client.proven, message)
             case pb.TakeBack():
-                return on.TakenBack(client.number, message.key, client.session)
+                return events.JobWithdrawn(client.number, message.key, client.session)
             case pb.AnswerSeen():
-                return on.AnswerSeen(client.session, message.key)
+                return events.AnswerSeen(client.session, message.key)
             case pb.Forget():
-                return on.Forgotten(client.session, message.key)
+                return events.ForgetRequested(client.session, message.key)
             case pb.Order() if message.kind in translate.ORDERS:
-                return on.Ordered(client.number, client.session, message.key, translate.ORDERS[message.kind])
+                return events.Ordered(
+                    client.number, client.session, message.key, translate.ORDERS[message.kind]
+                )
             case pb.AskStanding():
-                return on.StandingAsked(client.number, client.session, message.key, message.after)
+                return events.StatusRequested(client.number, client.session, message.key, message.after)
         raise LinkLost(f"a client may not send {type(message).__name__}")
 
     async def let_go(self, client: Client) -> None:
--- a/linedeal/controller/hostlink.py
+++ b/linedeal/controller/hostlink.py
@@ -8,8 +8,8 @@
 import anyio
 
 from linedeal.controller import translate
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
+from linedeal.engine import effects
+from linedeal.engine import events
 from linedeal.interface import Mode
 from linedeal.loop import Inbox
 from linedeal.net import Address, Link, LinkLost, Net, open_link, parse_address, until_lost
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        listed: on.ListedHost,
+        listed: events.ListedHost,
         controller: str,
         life: int,
         net: Net,
@@ -47,13 +47,13 @@
     def open(self) -> None:
         self.wake.set()
 
-    def launch(self, effect: do.SendLaunch) -> None:
+    def launch(self, effect: effects.SendLaunch) -> None:
         if len(self.outbox) >= self.limits.link_queue:
-            self.inbox.put(on.Unsent(self.listed.id, (effect.number,)))
+            self.inbox.put(events.LaunchesUnsent(self.listed.id, (effect.number,)))
             return
         self.queue(effect)
 
-    def relist(self, listed: on.ListedHost) -> None:
+    def relist(self, listed: events.ListedHost) -> None:
         """What a newer list says of the host. Launches that still wait for one that drains go back."""
         self.listed = listed
         if listed.mode is not Mode.SERVING:
@@ -63,19 +63,19 @@
         """Hands launches back that have not begun to leave, or that one: what they were decided on holds no more."""
 
         def meant(effect):
-            return isinstance(effect, do.SendLaunch) and number in (None, effect.number)
+            return isinstance(effect, effects.SendLaunch) and number in (None, effect.number)
 
         back = tuple(effect.number for effect in self.outbox if meant(effect))
         if back:
             self.outbox = deque(effect for effect in self.outbox if not meant(effect))
-            self.inbox.put(on.Unsent(self.listed.id, back))
+            self.inbox.put(events.LaunchesUnsent(self.listed.id, back))
 
-    def stop(self, effect: do.SendStop) -> None:
+    def stop(self, effect: effects.SendStop) -> None:
         if effect.launch.life == self.life:
             self.keep_back(effect.launch.number)
         self.tell(effect)
 
-    def probe(self, effect: do.SendProbe) -> None:
+    def probe(self, effect: effects.SendProbe) -> None:
         if len(self.outbox) < self.limits.link_queue:
             self.queue(effect)
 
@@ -109,7 +109,7 @@
                 link, welcome = await self.make()
                 number = self.next_number
                 await self.inbox.post(
-                    on.LinkUp(
+                    events.LinkUp(
                         self.listed.id,
                         number,
                         welcome.boot,
@@ -133,8 +133,11 @@
         waiting, self.outbox = self.outbox, deque()
         self.wake = anyio.Event()
         await self.inbox.post(
-            on.LinkDown(
-                self.listed.id, number, tuple(e.number for e in waiting if isinstance(e, do.SendLaunch)), why
+            events.LinkDown(
+                self.listed.id,
+                number,
+                tuple(e.number for e in waiting if isinstance(e, effects.SendLaunch)),
+                why,
             )
         )
 
@@ -167,7 +170,7 @@
         )
         try:
             if isinstance(message, pb.Bye) and message.fenced:
-                await self.inbox.post(on.Fenced(self.listed.id, message.reason[:200]))
+                await self.inbox.post(events.Fenced(self.listed.id, message.reason[:200]))
                 raise LinkLost("fenced")
             if not isinstance(message, pb.Welcome):
                 raise LinkLost(f"{type(message).__name__} in place of a welcome")
@@ -190,8 +193,8 @@
         while True:
             messages = await link.receive_all()
             self.heard_at = anyio.current_time()
-            events = [translate.host_said(self.listed.id, message) for message in messages]
-            await self.inbox.post(*[event for event in events if event is not None])
+            received = [translate.host_said(self.listed.id, message) for message in messages]
+            await self.inbox.post(*[event for event in received if event is not None])
 
     async def write(self, link: Link, number: int) -> None:
         while True:
@@ -203,7 +206,7 @@
                     continue
                 if numbers:
                     # told before the first byte goes: from here on it cannot be known that they did not arrive
-                    self.inbox.put(on.Left(self.listed.id, number, tuple(numbers)))
+                    self.inbox.put(events.LaunchesSent(self.listed.id, number, tuple(numbers)))
                 if self.written_at <= self.heard_at:
                     self.written_at = anyio.current_time()
                 await link.send(data, self.limits.link_silent)
@@ -214,25 +217,25 @@
         while self.outbox and len(data) < WRITE_MOST:
             effect = self.outbox.popleft()
             match effect:
-                case do.SendLaunch(_, number, _, _, boot) if boot != self.boot:
+                case effects.SendLaunch(_, number, _, _, boot) if boot != self.boot:
                     # guards against a host that started again since: what was meant for a warm host would all reach
                     # a cold one at once, past the gate that paces sends to young hosts
-                    self.inbox.put(on.Unsent(self.listed.id, (number,)))
-                case do.SendLaunch(_, number) if effect.leave_by <= now:
+                    self.inbox.put(events.LaunchesUnsent(self.listed.id, (number,)))
+                case effects.SendLaunch(_, number) if effect.send_by <= now:
                     # guards against a repeat of a labelled job that waited here until its mark was forgotten
-                    self.inbox.put(on.Unsent(self.listed.id, (number,)))
-                case do.SendLaunch(_, number, job, due):
+                    self.inbox.put(events.LaunchesUnsent(self.listed.id, (number,)))
+                case effects.SendLaunch(_, number, job, due):
                     numbers.append(number)
                     data += encode(
                         pb.Offer(
                             launch=self.own(number), job=translate.spec_of(job, effect.work), wait=due - now
                         )
                     )
-                case do.SendProbe(_, number):
+                case effects.SendProbe(_, number):
                     data += encode(pb.Probe(number=number))
-                case do.SendStop(_, launch):
+                case effects.SendStop(_, launch):
                     data += encode(pb.Stop(launch=self.own(*reversed(launch))))
-                case do.SendEndSeen(_, launch):
+                case effects.SendEndSeen(_, launch):
                     data += encode(pb.EndSeen(launch=self.own(*reversed(launch))))
         return bytes(data), numbers
 
@@ -254,4 +257,4 @@
                 now - self.written_at > self.limits.link_silent / 2
                 and len(self.outbox) < self.limits.link_queue
             ):
-                self.queue(do.SendProbe(self.listed.id, 0))
+                self.queue(effects.SendProbe(self.listed.id, 0))
--- a/linedeal/controller/runtime.py
+++ b/linedeal/controller/runtime.py
@@ -11,10 +11,10 @@
 from linedeal.controller.hostlink import HostLink
 from linedeal.controller.watch import DiscoveryWatch
 from linedeal.engine import Engine
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
+from linedeal.engine import effects
+from linedeal.engine import events
 from linedeal.interface import Mode
-from linedeal.loop import Inbox, Turning
+from linedeal.loop import Inbox, EngineStepper
 from linedeal.net import Address, Net
 from linedeal.policy import Controller
 from linedeal.settings.records import Cluster
@@ -58,7 +58,7 @@
         self.log = log.bind(controller=setup.name, life=self.life)
         self.policy = policy
         self.links: dict[str, HostLink] = {}
-        self.kept: dict[str, on.ListedHost] = {}
+        self.kept: dict[str, events.ListedHost] = {}
         self.dirty = anyio.Event()
         self.leaving = anyio.Event()
         self.office = None  # its part in the fleet's duties, where there is a council
@@ -70,7 +70,7 @@
             self.setup.cluster, self.setup.name, self.life, self.setup.seed + self.life, now, self.policy
         )
         self.inbox = Inbox(self.engine.put)
-        self.turning = Turning(self.engine, self.inbox, self.setup.cluster.limits.tick)
+        self.stepper = EngineStepper(self.engine, self.inbox, self.setup.cluster.limits.tick)
         self.front = Front(
             self.setup.name,
             self.net,
@@ -173,7 +173,7 @@
         return (
             {name: value for name, value in self.engine.counts.items() if value},
             {
-                "held": len(self.engine.taken),
+                "held": len(self.engine.unanswered),
                 "waiting": len(self.engine.module.waiting),
                 "clients": len(self.front.clients),
                 "links": sum(link.up for link in self.links.values()),
@@ -191,7 +191,7 @@
         version, hosts = self.store.last_list(self.journal_time())
         if hosts:
             self.log.info("starts from the list kept last", hosts=len(hosts), version=version)
-            self.engine.put(on.ListHeard(hosts, True, version, remembered=True))
+            self.engine.put(events.HostListReceived(hosts, True, version, remembered=True))
 
     def recover(self) -> None:
         longest = max(offering.expiry for offering in self.setup.cluster.settings.offerings.values())
@@ -202,26 +202,26 @@
             self.log.info("journal read", owed=len(found.open), answers=len(found.answers))
         self.engine.recover(found.open, found.answers)
 
-    async def keep(self, effects: list) -> None:
+    async def keep(self, emitted: list) -> None:
         """Where each commit is flushed a thread waits for the disk. Without, a commit takes less than a thread's hop,
         which costs up to one switch of the interpreter each way."""
         if self.setup.cluster.journal.power:
-            await self.on_disk(self.journal.write, self.journal_time(), self.life, effects)
+            await self.on_disk(self.journal.write, self.journal_time(), self.life, emitted)
         else:
             async with self.disk:
-                self.journal.write(self.journal_time(), self.life, effects)
+                self.journal.write(self.journal_time(), self.life, emitted)
         if self.journal.full:
             self.mind_room(True)
 
     async def watch_room(self) -> None:
         while True:
             self.mind_room(await self.on_disk(self.journal.look))
-            self.engine.room = self.journal.in_use, int(self.journal.most * FULL_AT)
+            self.engine.journal_usage = self.journal.in_use, int(self.journal.most * FULL_AT)
             await anyio.sleep(ROOM_EVERY)
 
     def mind_room(self, full: bool) -> None:
-        if full != self.engine.full:
-            self.engine.full = full
+        if full != self.engine.journal_full:
+            self.engine.journal_full = full
             if full:
                 self.log.error(
                     "journal is full: sessions' jobs are turned away",
@@ -234,21 +234,21 @@
     async def turn_until_left(self) -> None:
         ends = float("inf")
         while True:
-            effects = self.turning.turn()
-            keep = to_keep(effects)
+            emitted = self.stepper.step()
+            keep = to_keep(emitted)
             if keep:  # on disk before any of it shows: the turn's jobs share the flush, the next turn gathers meanwhile
                 await self.keep(keep)
-            for effect in effects:
+            for effect in emitted:
                 self.carry(effect)
             if self.leaving.is_set():
                 ends = min(ends, anyio.current_time() + self.setup.cluster.limits.leave)
-                if not self.engine.taken or anyio.current_time() >= ends:
+                if not self.engine.unanswered or anyio.current_time() >= ends:
                     await anyio.sleep(0.05)  # the last answers are on their way to the clients
                     return
             await self.wait(min(self.engine.next_due(), ends))
 
     async def wait(self, until: float) -> None:
-        await self.turning.wait(until)
+        await self.stepper.wait(until)
 
     def carry(self, effect) -> None:
         kind = type(effect)
@@ -256,30 +256,30 @@
             link = self.links.get(effect.host)
             if link is not None:
                 LINK_EFFECTS[kind](link, effect)
-            elif kind is do.SendLaunch:
-                self.inbox.put(on.Unsent(effect.host, (effect.number,)))
+            elif kind is effects.SendLaunch:
+                self.inbox.put(events.LaunchesUnsent(effect.host, (effect.number,)))
         elif kind in CLIENT_EFFECTS:
             self.front.send(effect.client, effect)
-        elif kind is do.KnowHost:
+        elif kind is effects.AddHost:
             self.know(effect.host)
-        elif kind is do.DropHost:
+        elif kind is effects.RemoveHost:
             link = self.links.pop(effect.host, None)
             if link is not None:
                 link.cancel()
-        elif kind is do.Watch:
+        elif kind is effects.Watch:
             self.watch.ask()
-        elif kind is do.Note:
+        elif kind is effects.LogMessage:
             getattr(self.log, effect.level)(effect.event, **dict(effect.fields))
         elif kind in ONLY_KEPT:
             pass  # the journal has them
-        elif kind is do.Halt:
+        elif kind is effects.Halt:
             raise Halted(effect.reason)
         else:
             raise TypeError(f"nothing carries out {effect!r}")
 
     # -- hosts
 
-    def know(self, listed: on.ListedHost) -> None:
+    def know(self, listed: events.ListedHost) -> None:
         link = self.links.get(listed.id)
         if listed.mode is Mode.GONE:
             if link is not None:
@@ -338,13 +338,20 @@
 
 
 LINK_EFFECTS = {
-    do.OpenLink: lambda link, effect: link.open(),
-    do.SendLaunch: HostLink.launch,
-    do.Unsend: lambda link, effect: link.keep_back(effect.number),
-    do.SendStop: HostLink.stop,
-    do.SendEndSeen: HostLink.tell,
-    do.SendProbe: HostLink.probe,
+    effects.OpenLink: lambda link, effect: link.open(),
+    effects.SendLaunch: HostLink.launch,
+    effects.WithholdLaunch: lambda link, effect: link.keep_back(effect.number),
+    effects.SendStop: HostLink.stop,
+    effects.SendEndSeen: HostLink.tell,
+    effects.SendProbe: HostLink.probe,
 }
 MODES = {Mode.SERVING: "SERVES", Mode.DRAINING: "DRAINS", Mode.GONE: "GONE"}
-ONLY_KEPT = (do.KeepVoid, do.KeepNoMore, do.KeepHold, do.KeepCourse)
-CLIENT_EFFECTS = (do.Take, do.TurnAway, do.Answer, do.Standing, do.AllTold, do.Reply)
+ONLY_KEPT = (effects.RecordNotRun, effects.DeleteRecord, effects.RecordHold, effects.RecordProgress)
+CLIENT_EFFECTS = (
+    effects.AcceptJob,
+    effects.DeclineJob,
+    effects.Answer,
+    effects.JobStatus,
+    effects.StatusPageEnd,
+    effects.Reply,
+)
--- a/linedeal/controller/translate.py
+++ b/linedeal/controller/translate.py
@@ -3,8 +3,8 @@
 from google.protobuf.message import DecodeError
 
 from linedeal import interface as api
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
+from linedeal.engine import effects
+from linedeal.engine import events
 from linedeal.engine.control import Fault, OrderKind
 from linedeal.net import LinkLost
 from linedeal.protocol import pb
@@ -25,24 +25,24 @@
     pb.SENT_AWAY: api.Reason.SENT_AWAY,
 }
 PHASES = {
-    pb.QUEUED: on.Phase.QUEUED,
-    pb.ACCEPTED: on.Phase.ACCEPTED,
-    pb.RUNNING: on.Phase.RUNNING,
-    pb.OVER: on.Phase.OVER,
+    pb.QUEUED: events.Phase.QUEUED,
+    pb.ACCEPTED: events.Phase.ACCEPTED,
+    pb.RUNNING: events.Phase.RUNNING,
+    pb.OVER: events.Phase.OVER,
 }
 MODES = {pb.SERVING: api.Mode.SERVING, pb.DRAINING: api.Mode.DRAINING, pb.GONE: api.Mode.GONE}
 ORDERS = {pb.HOLD: OrderKind.HOLD, pb.RELEASE: OrderKind.RELEASE, pb.END: OrderKind.END}
 ORDER_CODES = {kind: code for code, kind in ORDERS.items()}
 FAULTS = {Fault.NONE: pb.FAULT_NONE, Fault.NO_SUCH_JOB: pb.NO_SUCH_JOB, Fault.WRONG_STATE: pb.WRONG_STATE}
 VERDICTS = {
-    do.Verdict.PLACED: pb.PLACED,
-    do.Verdict.REJECTED: pb.REJECTED,
-    do.Verdict.WRITTEN_OFF: pb.WRITTEN_OFF,
+    effects.Verdict.PLACED: pb.PLACED,
+    effects.Verdict.REJECTED: pb.REJECTED,
+    effects.Verdict.WRITTEN_OFF: pb.WRITTEN_OFF,
 }
 
 
-def launch_id(message) -> on.LaunchId:
-    return on.LaunchId(message.life, message.number)
+def launch_id(message) -> events.LaunchId:
+    return events.LaunchId(message.life, message.number)
 
 
 def job_of(spec) -> api.Job:
@@ -61,27 +61,29 @@
     )
 
 
-def ran_of(message) -> on.Ran | None:
+def ran_of(message) -> events.Ran | None:
     """How a run ended, where the host told it."""
     if not message.HasField("ran"):
         return None
     ran = message.ran
-    return on.Ran(ran.status if ran.HasField("status") else None, ran.seconds, ran.core_seconds, ran.memory)
+    return events.Ran(
+        ran.status if ran.HasField("status") else None, ran.seconds, ran.core_seconds, ran.memory
+    )
 
 
-def held(item) -> on.Held:
-    return on.Held(
+def held(item) -> events.HeldLaunch:
+    return events.HeldLaunch(
         launch_id(item.launch),
         job_of(item.job),
-        PHASES.get(item.phase, on.Phase.ACCEPTED),
+        PHASES.get(item.phase, events.Phase.ACCEPTED),
         RESULTS.get(item.outcome, api.Result.ERROR),
         WHYS.get(item.reason, api.Reason.UNTOLD),
         ran_of(item),
     )
 
 
-def listed(entry) -> on.ListedHost:
-    return on.ListedHost(
+def listed(entry) -> events.ListedHost:
+    return events.ListedHost(
         entry.id,
         tuple(entry.addresses),
         entry.kind,
@@ -102,22 +104,24 @@
     """
     match message:
         case pb.Accepted():
-            return on.Accepted(host, launch_id(message.launch))
+            return events.Accepted(host, launch_id(message.launch))
         case pb.Refused():
-            return on.Refused(
+            return events.Refused(
                 host,
                 launch_id(message.launch),
                 WHYS.get(message.reason, api.Reason.UNTOLD),
                 message.detail[:200],
             )
         case pb.Started():
-            return on.Started(host, launch_id(message.launch))
+            return events.Started(host, launch_id(message.launch))
         case pb.Use():
-            return on.Used(host, launch_id(message.launch), message.cores, message.memory)
+            return events.UsageReported(host, launch_id(message.launch), message.cores, message.memory)
         case pb.Service():
-            return on.Served(host, launch_id(message.launch), message.served, message.host_memory)
+            return events.ServiceReported(
+                host, launch_id(message.launch), message.served, message.host_memory
+            )
         case pb.Ended():
-            return on.Over(
+            return events.LaunchEnded(
                 host,
                 launch_id(message.launch),
                 RESULTS.get(message.outcome, api.Result.ERROR),
@@ -125,17 +129,19 @@
                 ran_of(message),
             )
         case pb.Report():
-            return on.Reported(host, message.number, dict(message.figures)) if message.number else None
+            return (
+                events.ProbeReported(host, message.number, dict(message.figures)) if message.number else None
+            )
         case pb.Bye():
             if message.fenced:
-                return on.Fenced(host, message.reason[:200])
+                return events.Fenced(host, message.reason[:200])
             raise LinkLost(f"told to go: {message.reason[:200]}")
     raise LinkLost(f"a host may not send {type(message).__name__}")
 
 
-def submitted(client: int, session: str, proven: str, message) -> on.Submitted:
+def submitted(client: int, session: str, proven: str, message) -> events.Submitted:
     job = message.job
-    return on.Submitted(
+    return events.Submitted(
         client,
         message.key,
         job.offering,
@@ -153,7 +159,7 @@
     )
 
 
-def standing(effect: do.Standing) -> pb.Standing:
+def standing(effect: effects.JobStatus) -> pb.Standing:
     ran = None
     if effect.ran is not None:
         ran = pb.Ran(
@@ -196,17 +202,17 @@
 def to_client(effect):
     """The message that an effect owes to a client."""
     match effect:
-        case do.Take(_, key, job):
+        case effects.AcceptJob(_, key, job):
             return pb.Taken(key=key, job=job)
-        case do.TurnAway(_, key, reason, retry_after):
+        case effects.DeclineJob(_, key, reason, retry_after):
             return pb.TurnedAway(key=key, reason=reason, retry_after=retry_after)
-        case do.Answer(_, key, job, verdict, host):
+        case effects.Answer(_, key, job, verdict, host):
             return pb.Answer(key=key, job=job, verdict=VERDICTS[verdict], host=host)
-        case do.Standing():
+        case effects.JobStatus():
             return standing(effect)
-        case do.AllTold(_, more):
+        case effects.StatusPageEnd(_, more):
             return pb.AllTold(more=more)
-        case do.Reply(_, key, kind, fault, reason):
+        case effects.Reply(_, key, kind, fault, reason):
             return pb.Ordered(
                 key=key,
                 kind=ORDER_CODES.get(kind, pb.ORDER_UNKNOWN),
--- a/linedeal/controller/watch.py
+++ b/linedeal/controller/watch.py
@@ -1,9 +1,9 @@
-"""The watch on discovery: each `Watch` is answered by a list, or by `ListFailed`."""
+"""The watch on discovery: each `Watch` is answered by a list, or by `HostListFailed`."""
 
 import anyio
 
 from linedeal.controller import translate
-from linedeal.engine import events as on
+from linedeal.engine import events
 from linedeal.loop import Inbox
 from linedeal.net import Address, Link, LinkLost, Net, open_link, until_lost
 from linedeal.protocol import VERSION, FrameReader, encode, pb
@@ -48,7 +48,7 @@
                     await link.close()
             self.log.debug("discovery lost", reason=why)
             self.wanted = anyio.Event()
-            await self.inbox.post(on.ListFailed(why))
+            await self.inbox.post(events.HostListFailed(why))
 
     async def serve(self, link: Link) -> None:
         await until_lost(self.write(link), self.read(link))
@@ -80,7 +80,7 @@
             self.heard_at = anyio.current_time()
             self.version = message.version
             await self.inbox.post(
-                on.ListHeard(
+                events.HostListReceived(
                     tuple(translate.listed(entry) for entry in message.hosts), message.whole, message.version
                 )
             )
--- a/linedeal/engine/admission.py
+++ b/linedeal/engine/admission.py
@@ -3,7 +3,7 @@
 RESERVE = 8  # one part in so many of what may be held is for customers that hold less than an even share
 
 
-class Shares:
+class FairShares:
     """How much each customer has of one thing that is bounded for all: jobs that wait, links, bytes of the journal."""
 
     def __init__(self):
@@ -17,16 +17,16 @@
         else:
             del self.of[customer]
 
-    def may_take(self, customer: str, held: int, most: int) -> bool:
+    def admits(self, customer: str, held: int, most: int) -> bool:
         """Whether this customer may have more, where `held` of at most `most` are in use by all.
 
         Guards the others against one that fills all there is: an even share counts a place for one more to come.
 
-        >>> shares = Shares()
+        >>> shares = FairShares()
         >>> shares.add("crowd", 35)
-        >>> shares.may_take("crowd", 34, 40), shares.may_take("crowd", 35, 40)
+        >>> shares.admits("crowd", 34, 40), shares.admits("crowd", 35, 40)
         (True, False)
-        >>> shares.may_take("school", 35, 40), shares.may_take("school", 40, 40)
+        >>> shares.admits("school", 35, 40), shares.admits("school", 40, 40)
         (True, False)
         """
         if held >= most:
--- a/linedeal/engine/control.py
+++ b/linedeal/engine/control.py
@@ -19,7 +19,7 @@
     WRONG_STATE = "not in this state"
 
 
-class Move(Enum):
+class OrderAction(Enum):
     NOTHING = "stands so already"
     HOLD = "taken from the module, its time stops"
     RELEASE = "back to the module"
@@ -30,32 +30,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ruling:
-    move: Move
+class OrderDecision:
+    action: OrderAction
     reason: str = ""
 
 
-def rule(kind: OrderKind, entry: Entry, launch_out: bool, may_have_run: bool, effect: Effect) -> Ruling:
+def decide_order(
+    kind: OrderKind, entry: Entry, launch_out: bool, may_have_run: bool, effect: Effect
+) -> OrderDecision:
     """`launch_out`: sent or about to be, without an answer. `may_have_run`: an earlier launch of it may have."""
     if entry.over:
-        return Ruling(Move.REFUSE, f"it has ended: {entry.stage.value}")
+        return OrderDecision(OrderAction.REFUSE, f"it has ended: {entry.stage.value}")
     if kind is OrderKind.END:
         if entry.stage in AT_HOST:
-            return Ruling(Move.STOP)
+            return OrderDecision(OrderAction.STOP)
         # a launch that is out cannot be known not to run: rule 2 leaves only "written off", unless repeats do no harm
         harmless = effect is Effect.REDOABLE or not (launch_out or may_have_run)
-        return Ruling(Move.REJECT if harmless else Move.WRITE_OFF)
+        return OrderDecision(OrderAction.REJECT if harmless else OrderAction.WRITE_OFF)
     if entry.stage in AT_HOST:
-        return Ruling(Move.REFUSE, "a host has it already")
+        return OrderDecision(OrderAction.REFUSE, "a host has it already")
     if kind is OrderKind.HOLD:
         if entry.stage is Stage.HELD:
-            return Ruling(Move.NOTHING)
+            return OrderDecision(OrderAction.NOTHING)
         if launch_out:
             # holding now would leave a yes on its way to a job that its owner believes held
-            return Ruling(Move.REFUSE, "its launch is out")
+            return OrderDecision(OrderAction.REFUSE, "its launch is out")
         if may_have_run and effect is not Effect.REDOABLE:
-            return Ruling(Move.REFUSE, "a launch of it may have run, its window goes on")
-        return Ruling(Move.HOLD)
+            return OrderDecision(OrderAction.REFUSE, "a launch of it may have run, its window goes on")
+        return OrderDecision(OrderAction.HOLD)
     if entry.stage is Stage.HELD:
-        return Ruling(Move.RELEASE)
-    return Ruling(Move.REFUSE, "it is not held")
+        return OrderDecision(OrderAction.RELEASE)
+    return OrderDecision(OrderAction.REFUSE, "it is not held")
--- a/linedeal/engine/effects.py
+++ b/linedeal/engine/effects.py
@@ -16,14 +16,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnowHost:
+class AddHost:
     """The host is listed: a link to it may be asked for from now on."""
 
     host: ListedHost
 
 
 @dataclass(frozen=True, slots=True)
-class DropHost:
+class RemoveHost:
     """It is gone and holds nothing of ours: its link ends."""
 
     host: str
@@ -43,28 +43,28 @@
     job: Job
     due: float  # when it is given up
     boot: int  # of the host, as it was known when this was decided
-    keep: bool = False  # to be on disk before its first byte leaves
+    persist: bool = False  # to be on disk before its first byte leaves
     work: bytes = b""
-    leave_by: float = float("inf")  # its first byte leaves before then, or it does not leave
+    send_by: float = float("inf")  # its first byte leaves before then, or it does not leave
 
 
 @dataclass(frozen=True, slots=True)
-class KeepVoid:
+class RecordNotRun:
     """This launch is known not to have run."""
 
     launch: LaunchId
 
 
 @dataclass(frozen=True, slots=True)
-class KeepNoMore:
+class DeleteRecord:
     """Nothing is owed for the job and nobody will ask for it again."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
-class Unsend:
-    """Keep the launch back if its frame has not begun to leave; the link then tells `Unsent`."""
+class WithholdLaunch:
+    """Keep the launch back if its frame has not begun to leave; the link then tells `LaunchesUnsent`."""
 
     host: str
     number: int
@@ -89,7 +89,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Take:
+class AcceptJob:
     """The job is taken: from here it is owed one answer."""
 
     client: int
@@ -102,11 +102,11 @@
     follow: bool = False
     held: bool = False
     start_in: float = 0.0
-    promise: str = ""  # what its offering says of repeats
+    guarantee: str = ""  # what its offering says of repeats
 
 
 @dataclass(frozen=True, slots=True)
-class TurnAway:
+class DeclineJob:
     """It is not taken; nothing is owed."""
 
     client: int
@@ -122,10 +122,10 @@
     job: str
     verdict: Verdict
     host: str = ""
-    keep: bool = False  # to be on disk before the client is told
+    persist: bool = False  # to be on disk before the client is told
     launch: LaunchId | None = None
     reason: str = ""
-    said: str = ""  # what the host gave with its yes
+    host_reply: str = ""  # what the host gave with its yes
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +141,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlacedOver:
+class NotifyEnded:
     """What stood is over, which its owner is to hear."""
 
     job: str
@@ -151,17 +151,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeepHold:
+class RecordHold:
     """Held by its owner, with `left` seconds to wait for a host once released; or released, with those."""
 
     job: str
     held: bool
-    left: float
+    remaining: float
     start_in: float
 
 
 @dataclass(frozen=True, slots=True)
-class KeepCourse:
+class RecordProgress:
     """How far a placed job is; `stage` is the name of a ledger.Stage."""
 
     job: str
@@ -173,7 +173,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class JobStatus:
     """For a client: how a job stands. Times are seconds ago, under 0 where that has not been."""
 
     client: int
@@ -191,7 +191,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AllTold:
+class StatusPageEnd:
     client: int
     more: bool
 
@@ -213,7 +213,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
+class LogMessage:
     """One line for the log: `event` is a fixed phrase, `fields` its keys."""
 
     level: str
--- a/linedeal/engine/events.py
+++ b/linedeal/engine/events.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Held:
+class HeldLaunch:
     """What a host says of a launch when a link is made."""
 
     launch: LaunchId
@@ -64,7 +64,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListHeard:
+class HostListReceived:
     hosts: tuple[ListedHost, ...]
     whole: bool
     version: int
@@ -72,7 +72,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ListFailed:
+class HostListFailed:
     reason: str
 
 
@@ -98,14 +98,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakenBack:
+class JobWithdrawn:
     client: int
     key: str
     session: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class RunningJobHandedOver:
     """The owner says that this job stands at that host already, and is this controller's from now on."""
 
     client: int
@@ -120,7 +120,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PlacedEnded:
+class StopRequested:
     """The owner ends a job that stands; its host says when it has ended."""
 
     job: str
@@ -145,7 +145,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StandingAsked:
+class StatusRequested:
     """How one job stands, or, with no key, all of the session's after key `after`."""
 
     client: int
@@ -155,7 +155,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forgotten:
+class ForgetRequested:
     """The owner wants to hear of this job no more; one that is owed an answer or runs is kept."""
 
     session: str
@@ -163,7 +163,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ClientLeft:
+class ClientDisconnected:
     client: int
 
 
@@ -171,7 +171,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
+class LaunchesSent:
     """Frames of these launches are about to be written: from here on they may reach the host."""
 
     host: str
@@ -180,7 +180,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Unsent:
+class LaunchesUnsent:
     """Launches that the link kept back: they were called off in time, or too many waited."""
 
     host: str
@@ -188,7 +188,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GivenUp:
+class LaunchesCancelled:
     """The words that give these launches up have been written, or what they left on is closed: none is out any more."""
 
     host: str
@@ -201,7 +201,7 @@
     link: int
     boot: int
     age: float = 0.0  # seconds since that boot
-    held: tuple[Held, ...] = ()
+    held: tuple[HeldLaunch, ...] = ()
     forgot: bool = False
 
 
@@ -225,13 +225,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """`said`: what the host gave with its yes, for the owner, carried as it is. `instead`: it came before the word that
+    """`host_reply`: what the host gave with its yes, for the owner, carried as it is. `cancel_withdrawn`: it came before the word that
     gives the launch up, which the link has taken back."""
 
     host: str
     launch: LaunchId
-    said: str = ""
-    instead: bool = False
+    host_reply: str = ""
+    cancel_withdrawn: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -249,7 +249,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Used:
+class UsageReported:
     host: str
     launch: LaunchId
     cores: float
@@ -257,7 +257,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Served:
+class ServiceReported:
     """Figures under 0 were not told."""
 
     host: str
@@ -267,7 +267,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Over:
+class LaunchEnded:
     host: str
     launch: LaunchId
     result: Result
@@ -276,7 +276,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class MetricReported:
     """One figure of a job that stands: `what` as in the interface's `MetricReported`."""
 
     host: str
@@ -293,7 +293,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Reported:
+class ProbeReported:
     host: str
     number: int
     figures: dict[str, float] = field(default_factory=dict)
--- a/linedeal/engine/launches.py
+++ b/linedeal/engine/launches.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from linedeal.engine.events import Held, LaunchId, Phase, Ran
+from linedeal.engine.events import HeldLaunch, LaunchId, Phase, Ran
 from linedeal.interface import Effect, Job, Reason, Result
 
 
@@ -34,7 +34,7 @@
     sent: float = 0.0  # when it was decided on
     ran: Ran | None = None  # what its host said at its end
     provable: bool = True  # its host will give an account of what it holds
-    said: str = ""  # what its host gave with its yes
+    host_reply: str = ""  # what its host gave with its yes
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
     why: Reason = Reason.UNTOLD
 
 
-def cut(launch: Launch) -> Result | None:
+def result_of_lost_link(launch: Launch) -> Result | None:
     """The link broke after the frame began to leave. None: it is worth waiting for what a new link shows.
 
     A job that is held runs on without the link. An irreversible one could only be written off; until its time is
@@ -60,7 +60,7 @@
     return Result.CUT
 
 
-def found(launch: Launch, held: Held | None, boot: int, forgot: bool) -> Finding | None:
+def found(launch: Launch, held: HeldLaunch | None, boot: int, forgot: bool) -> Finding | None:
     """What a host's own account says of a launch that left on an earlier link; None: nothing new.
 
     The host took the new link's number before it gave the account, and takes nothing that earlier links still
--- a/linedeal/engine/asking.py
+++ b/linedeal/engine/pacing.py
@@ -4,12 +4,12 @@
 from random import Random
 
 
-class Asking:
+class ConnectPacer:
     """Hands out the hosts still to be asked, in an order of this controller's own.
 
-    >>> asking = Asking(10.0, Random(1))
-    >>> asking.add(["a", "b", "c"])
-    >>> [len(asking.take(now)) for now in (0.0, 0.05, 0.2)]
+    >>> pacer = ConnectPacer(10.0, Random(1))
+    >>> pacer.add(["a", "b", "c"])
+    >>> [len(pacer.take(now)) for now in (0.0, 0.05, 0.2)]
     [1, 0, 2]
     """
 
@@ -39,6 +39,6 @@
 RELINK, RELINK_MOST = 0.2, 5.0  # seconds before a link that broke is made again, first and at most
 
 
-def again_after(tries: int, random: Random) -> float:
+def reconnect_delay(tries: int, random: Random) -> float:
     """Seconds to wait before the next try; scattered, so that all controllers do not come back in one moment."""
     return min(RELINK * 2 ** (tries - 1), RELINK_MOST) * (0.5 + random.random())
--- a/linedeal/engine/recovery.py
+++ b/linedeal/engine/recovery.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from linedeal.engine.events import Held, LaunchId, Phase, Ran
+from linedeal.engine.events import HeldLaunch, LaunchId, Phase, Ran
 from linedeal.interface import Effect, Job, Offering
 
 PATIENCE = 1.5  # seconds after a start for which a redoable job waits for its host's account
@@ -45,11 +45,11 @@
     held: bool = False
     start_in: float = 0.0  # seconds
     taken_ago: float = 0.0
-    promise: str = ""  # what its offering was as it was taken; empty: not known, an older record
+    guarantee: str = ""  # what its offering was as it was taken; empty: not known, an older record
 
 
 @dataclass(frozen=True, slots=True)
-class KeptAnswer:
+class StoredAnswer:
     """A job that is answered and not forgotten. Times are seconds before this life."""
 
     session: str
@@ -69,15 +69,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Account:
+class HostInventory:
     """What a host said to this life's first link. It knows this life by then, so nothing older reaches it any more."""
 
     boot: int
-    held: dict[LaunchId, Held]
+    held: dict[LaunchId, HeldLaunch]
     forgot: bool
 
 
-def promise(offering: Offering) -> str:
+def guarantee(offering: Offering) -> str:
     """What an offering says of repeats, kept with each job: a file edited between two lives must not let an
     irreversible job run twice."""
     if offering.effect is not Effect.LABELLED:
@@ -85,7 +85,7 @@
     return f"{offering.effect.name} {offering.dedup_level.name} {offering.dedup_window:g}"
 
 
-def ran(launch: OldLaunch, accounts: dict[str, Account]) -> bool | None:
+def may_have_run(launch: OldLaunch, accounts: dict[str, HostInventory]) -> bool | None:
     """Whether a launch of an earlier life ran: None where its host has not been heard, True where it may have."""
     if launch.void:
         return False
@@ -95,7 +95,7 @@
     return not (account.boot == launch.boot and not account.forgot and launch.id not in account.held)
 
 
-def placed_at(job: OpenJob, accounts: dict[str, Account]) -> tuple[str, Held] | None:
+def placed_at(job: OpenJob, accounts: dict[str, HostInventory]) -> tuple[str, HeldLaunch] | None:
     """The host that has the job, or has had it to its end, and what it says of it; None where no host says so."""
     for launch in job.launches:
         held = accounts[launch.host].held.get(launch.id) if launch.host in accounts else None
@@ -104,15 +104,15 @@
     return None
 
 
-def risk(job: OpenJob, accounts: dict[str, Account]) -> OldLaunch | None:
+def risk(job: OpenJob, accounts: dict[str, HostInventory]) -> OldLaunch | None:
     """The first of its launches that may have run."""
-    return next((launch for launch in job.launches if ran(launch, accounts) is not False), None)
+    return next((launch for launch in job.launches if may_have_run(launch, accounts) is not False), None)
 
 
 def next_step(
     job: OpenJob,
     effect: Effect,
-    accounts: dict[str, Account],
+    accounts: dict[str, HostInventory],
     lost: set[str],
     patience_over: bool,
     time_up: bool,
@@ -127,7 +127,8 @@
     if placed_at(job, accounts):
         return Step.PLACED
     fates = [
-        True if launch.host in lost and not launch.void else ran(launch, accounts) for launch in job.launches
+        True if launch.host in lost and not launch.void else may_have_run(launch, accounts)
+        for launch in job.launches
     ]
     harmless = effect is Effect.REDOABLE or not any(fate is not False for fate in fates)
     if time_up:
--- a/linedeal/engine/sessions.py
+++ b/linedeal/engine/sessions.py
@@ -1,26 +1,26 @@
 """The jobs that sessions own: joined by key, held, released, ended, told of, forgotten.
 
-A part of the engine, which it acts through: `control.rule` says what an order does, the ledger how each job stands.
+A part of the engine, which it acts through: `control.decide_order` says what an order does, the ledger how each job stands.
 """
 
 from linedeal import interface as api
 from linedeal.engine import control, recovery
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
-from linedeal.engine.admission import Shares
-from linedeal.engine.control import Fault, Move
+from linedeal.engine import effects
+from linedeal.engine import events
+from linedeal.engine.admission import FairShares
+from linedeal.engine.control import Fault, OrderAction
 from linedeal.engine.ledger import AT_HOST, Entry, Ledger, Stage
 
 RECORD = 300  # bytes that the journal takes for a job without work
 PAGE = 200  # jobs told in one go; the client asks for the next
-KEPT_MOST = 100_000  # jobs kept after their end for owners that do not come; then the oldest go
+MAX_ENDED_JOBS = 100_000  # jobs kept after their end for owners that do not come; then the oldest go
 
 
 class Sessions:
     def __init__(self, engine):
         self.engine = engine
         self.ledger = Ledger()
-        self.bytes = Shares()  # of each customer's jobs in the journal, roughly
+        self.bytes = FairShares()  # of each customer's jobs in the journal, roughly
         self.followers: dict[str, dict[int, None]] = {}  # links that are told of each change, by session
         self.unaccounted: dict[str, list[Entry]] = {}  # placed by an earlier life, by host
         self.over: dict[
@@ -30,7 +30,7 @@
 
     # -- taking
 
-    def joined(self, event: on.Submitted) -> bool:
+    def joined(self, event: events.Submitted) -> bool:
         """Whether the session has asked for this key before: the same job is joined, another is a fault."""
         engine, entry = self.engine, self.ledger.entries.get((event.session, event.key))
         if entry is None:
@@ -45,24 +45,26 @@
             event.work,
         ):
             engine.counts["turned away"] += 1
-            engine.out.append(do.TurnAway(event.client, event.key, "this key names another job", 0.0))
+            engine.emitted.append(
+                effects.DeclineJob(event.client, event.key, "this key names another job", 0.0)
+            )
             return True
-        engine.out.append(do.Take(event.client, event.key, job.id))
+        engine.emitted.append(effects.AcceptJob(event.client, event.key, job.id))
         if entry.follow:
             self.follow(event.session, event.client)
             self.tell_one(event.client, entry)
         if entry.verdict:
-            engine.out.append(
-                do.Answer(event.client, event.key, job.id, do.Verdict(entry.verdict), entry.host)
+            engine.emitted.append(
+                effects.Answer(event.client, event.key, job.id, effects.Verdict(entry.verdict), entry.host)
             )
         else:
-            taken = engine.taken[job.id]
+            taken = engine.unanswered[job.id]
             engine.clients.get(taken.client, set()).discard(job.id)
             taken.client = event.client
             engine.own(taken)
         return True
 
-    def took(self, event: on.Submitted, job: api.Job, wait: float) -> Entry:
+    def took(self, event: events.Submitted, job: api.Job, wait: float) -> Entry:
         stage = Stage.HELD if event.hold else Stage.LATER if event.start_in else Stage.WAITING
         entry = Entry(event.session, event.key, job, event.work, event.follow, stage, self.engine.now)
         self.add(entry)
@@ -75,7 +77,7 @@
     def set_aside(self, entry: Entry, left: float, start_in: float = 0.0) -> None:
         """Its time stops at `left` seconds; it goes on when released, or when its start time comes."""
         engine = self.engine
-        engine.taken[entry.job.id].left = left
+        engine.unanswered[entry.job.id].left = left
         entry.job.expiry = float("inf")
         self.unmind(entry)
         if entry.stage is Stage.LATER:
@@ -93,14 +95,14 @@
 
     def go_on(self, entry: Entry) -> None:
         """Back to the module, with the time that was left."""
-        engine, taken = self.engine, self.engine.taken[entry.job.id]
+        engine, taken = self.engine, self.engine.unanswered[entry.job.id]
         if engine.in_force(taken) is None:  # held over a restart, and nothing of it can have run
             entry.reason = f"offering {entry.job.offering} is gone or has changed"
-            engine.answer(entry.job.id, do.Verdict.REJECTED)
+            engine.answer(entry.job.id, effects.Verdict.REJECTED)
             return
         self.unmind(entry)
         entry.stage, entry.job.expiry = Stage.WAITING, engine.now + taken.left
-        engine.out.append(do.KeepHold(entry.job.id, False, taken.left, 0.0))
+        engine.emitted.append(effects.RecordHold(entry.job.id, False, taken.left, 0.0))
         self.tell(entry)
         engine.tell(api.JobArrived(entry.job, taken.risk))
 
@@ -116,90 +118,100 @@
         if entry is not None and entry.stage is Stage.HELD:
             entry.timer = 0
             entry.reason = f"held for {engine.cluster.limits.hold:g} s"
-            engine.answer(job_id, do.Verdict.REJECTED)
+            engine.answer(job_id, effects.Verdict.REJECTED)
 
     # -- orders
 
-    def ordered(self, event: on.Ordered) -> None:
+    def ordered(self, event: events.Ordered) -> None:
         engine, entry = self.engine, self.ledger.entries.get((event.session, event.key))
         if entry is None:
-            engine.out.append(do.Reply(event.client, event.key, event.kind, Fault.NO_SUCH_JOB))
+            engine.emitted.append(effects.Reply(event.client, event.key, event.kind, Fault.NO_SUCH_JOB))
             return
-        taken, launch = engine.taken.get(entry.job.id), engine.by_job.get(entry.job.id)
+        taken, launch = engine.unanswered.get(entry.job.id), engine.by_job.get(entry.job.id)
         offering = engine.in_force(taken) if taken else None
-        earlier = engine.pending.get(entry.job.id)
+        earlier = engine.unresolved.get(entry.job.id)
         may_have_run = bool(taken and taken.risk) or bool(
             earlier and any(not old.void for old in earlier.launches)
         )
-        ruling = control.rule(
+        ruling = control.decide_order(
             event.kind,
             entry,
             launch is not None,
             may_have_run,
             offering.effect if offering else api.Effect.IRREVERSIBLE,
         )
-        if ruling.move is Move.REFUSE:
-            engine.out.append(do.Reply(event.client, event.key, event.kind, Fault.WRONG_STATE, ruling.reason))
+        if ruling.action is OrderAction.REFUSE:
+            engine.emitted.append(
+                effects.Reply(event.client, event.key, event.kind, Fault.WRONG_STATE, ruling.reason)
+            )
             return
-        engine.out.append(do.Reply(event.client, event.key, event.kind, Fault.NONE))
-        if ruling.move is Move.HOLD:
+        engine.emitted.append(effects.Reply(event.client, event.key, event.kind, Fault.NONE))
+        if ruling.action is OrderAction.HOLD:
             self.hold(entry)
-        elif ruling.move is Move.RELEASE:
+        elif ruling.action is OrderAction.RELEASE:
             self.go_on(entry)
-        elif ruling.move is Move.STOP:
+        elif ruling.action is OrderAction.STOP:
             self.end_at_host(entry)
-        elif ruling.move in (Move.REJECT, Move.WRITE_OFF):
-            self.end_before(entry, launch, ruling.move)
+        elif ruling.action in (OrderAction.REJECT, OrderAction.WRITE_OFF):
+            self.end_before(entry, launch, ruling.action)
 
     def hold(self, entry: Entry) -> None:
-        engine, taken = self.engine, self.engine.taken[entry.job.id]
+        engine, taken = self.engine, self.engine.unanswered[entry.job.id]
         if entry.stage is not Stage.LATER:
             taken.left = max(0.0, entry.job.expiry - engine.now)
-            if engine.pending.pop(entry.job.id, None) is None and not taken.returning:
+            if engine.unresolved.pop(entry.job.id, None) is None and not taken.returning:
                 engine.tell(api.JobWithdrawn(entry.job.id))
             taken.returning = False
         entry.stage = Stage.HELD
         self.set_aside(entry, taken.left)
-        engine.out.append(do.KeepHold(entry.job.id, True, taken.left, 0.0))
+        engine.emitted.append(effects.RecordHold(entry.job.id, True, taken.left, 0.0))
         self.tell(entry)
 
     def end_at_host(self, entry: Entry) -> None:
         """The host says when it has ended; until then the order stands, over broken links and restarts."""
         engine, launch = self.engine, self.engine.by_job.get(entry.job.id)
         entry.ending = True
-        engine.out.append(do.KeepCourse(entry.job.id, entry.stage.name, entry.reason, None, ending=True))
+        engine.emitted.append(
+            effects.RecordProgress(entry.job.id, entry.stage.name, entry.reason, None, ending=True)
+        )
         if launch is not None:
             launch.wanted = False
             engine.stop(launch)
         self.tell(entry)
 
-    def end_before(self, entry: Entry, launch, move: Move) -> None:
+    def end_before(self, entry: Entry, launch, move: OrderAction) -> None:
         engine, job_id, waits = self.engine, entry.job.id, entry.stage is Stage.WAITING
         entry.reason = "ended by its owner"
         if launch is not None:
             launch.wanted = False
             engine.stop(launch)
-        known = waits and engine.pending.pop(job_id, None) is None and not engine.taken[job_id].returning
-        engine.answer(job_id, do.Verdict.REJECTED if move is Move.REJECT else do.Verdict.WRITTEN_OFF)
+        known = (
+            waits and engine.unresolved.pop(job_id, None) is None and not engine.unanswered[job_id].returning
+        )
+        engine.answer(
+            job_id, effects.Verdict.REJECTED if move is OrderAction.REJECT else effects.Verdict.WRITTEN_OFF
+        )
         if known:
             engine.tell(api.JobWithdrawn(job_id))
 
     # -- its course
 
     def answered(
-        self, entry: Entry, verdict: str, host: str, launch: on.LaunchId | None, reason: str
+        self, entry: Entry, verdict: str, host: str, launch: events.LaunchId | None, reason: str
     ) -> None:
         self.unmind(entry)
         self.ledger.answered(entry, self.engine.now, verdict, host, launch, reason)
         if not entry.follow or entry.over:
             self.keep_for_a_while(entry)
 
-    def started(self, job_id: str, launch_id: on.LaunchId) -> None:
+    def started(self, job_id: str, launch_id: events.LaunchId) -> None:
         entry = self.ledger.started(job_id, launch_id)
         if entry is not None:
             self.keep_course(entry)
 
-    def ended(self, job_id: str, launch_id: on.LaunchId, result: api.Result, why: api.Reason, ran) -> None:
+    def ended(
+        self, job_id: str, launch_id: events.LaunchId, result: api.Result, why: api.Reason, ran
+    ) -> None:
         entry = self.ledger.ended(job_id, launch_id, self.engine.now, result, why, ran)
         if entry is not None:
             self.keep_course(entry)
@@ -207,8 +219,8 @@
 
     def keep_course(self, entry: Entry) -> None:
         if entry.follow:
-            self.engine.out.append(
-                do.KeepCourse(
+            self.engine.emitted.append(
+                effects.RecordProgress(
                     entry.job.id,
                     entry.stage.name,
                     entry.reason,
@@ -246,8 +258,8 @@
         def ago(then):
             return -1.0 if then is None else max(0.0, self.engine.now - then)
 
-        self.engine.out.append(
-            do.Standing(
+        self.engine.emitted.append(
+            effects.JobStatus(
                 client,
                 entry.key,
                 entry.job,
@@ -263,11 +275,11 @@
             )
         )
 
-    def asked(self, event: on.StandingAsked) -> None:
+    def asked(self, event: events.StatusRequested) -> None:
         if event.key:
             entry = self.ledger.entries.get((event.session, event.key))
             if entry is None:
-                self.engine.out.append(do.Reply(event.client, event.key, None, Fault.NO_SUCH_JOB))
+                self.engine.emitted.append(effects.Reply(event.client, event.key, None, Fault.NO_SUCH_JOB))
             else:
                 self.tell_one(event.client, entry)
             return
@@ -275,16 +287,16 @@
         page, more = self.ledger.page(event.session, event.after, PAGE)
         for entry in page:
             self.tell_one(event.client, entry)
-        self.engine.out.append(do.AllTold(event.client, more))
+        self.engine.emitted.append(effects.StatusPageEnd(event.client, more))
 
     # -- forgetting
 
-    def answer_seen(self, event: on.AnswerSeen) -> None:
+    def answer_seen(self, event: events.AnswerSeen) -> None:
         entry = self.ledger.entries.get((event.session, event.key))
         if entry is not None and entry.verdict and not entry.follow:
             self.forget(entry)
 
-    def forgotten(self, event: on.Forgotten) -> None:
+    def forgotten(self, event: events.ForgetRequested) -> None:
         entry = self.ledger.entries.get((event.session, event.key))
         if entry is not None and (entry.over or entry.verdict and not entry.follow):
             self.forget(entry)
@@ -311,7 +323,7 @@
             self.kept -= 1
             if not mine:
                 del self.over[entry.job.customer]
-        self.engine.out.append(do.KeepNoMore(entry.job.id))
+        self.engine.emitted.append(effects.DeleteRecord(entry.job.id))
 
     def keep_for_a_while(self, entry: Entry, passed: float = 0.0) -> None:
         engine, key = self.engine, (entry.session, entry.key)
@@ -319,11 +331,11 @@
         self.kept += key not in mine
         mine[key] = None
         engine.timers.arm(engine.now + max(0.0, engine.cluster.journal.answers_kept - passed), "forget", key)
-        if self.kept == KEPT_MOST + 1:  # in a turn, which writes to the journal what it forgets
+        if self.kept == MAX_ENDED_JOBS + 1:  # in a turn, which writes to the journal what it forgets
             engine.timers.arm(engine.now, "too many kept", "")
 
     def too_many_kept(self) -> None:
-        while self.kept > KEPT_MOST:
+        while self.kept > MAX_ENDED_JOBS:
             # of the customer that has most: an answer that another has not seen is asked for again, and would run twice
             most = max(self.over.values(), key=len)
             self.forget(self.ledger.entries[next(iter(most))])
@@ -340,7 +352,7 @@
             self.set_aside(entry, job.expires_in, job.start_in)
         return entry
 
-    def recover_answered(self, kept: recovery.KeptAnswer) -> None:
+    def recover_answered(self, kept: recovery.StoredAnswer) -> None:
         now = self.engine.now
         entry = Entry(
             kept.session,
--- a/linedeal/loop/__init__.py
+++ b/linedeal/loop/__init__.py
@@ -1,8 +1,8 @@
 """What every route into the engine shares: where links leave their events, and when the engine turns."""
 
-from linedeal.loop.collecting import collect_when_quiet
+from linedeal.loop.garbage import collect_garbage_when_idle
 from linedeal.loop.inbox import Inbox
 from linedeal.loop.lateness import Lateness
-from linedeal.loop.turning import Turning
+from linedeal.loop.stepper import EngineStepper
 
-__all__ = ["Inbox", "Lateness", "Turning", "collect_when_quiet"]
+__all__ = ["Inbox", "Lateness", "EngineStepper", "collect_garbage_when_idle"]
--- a/linedeal/loop/collecting.py
+++ b/linedeal/loop/garbage.py
@@ -20,7 +20,7 @@
 NEVER = 1 << 30  # collections of the middle generation after which the interpreter would make one
 
 
-async def collect_when_quiet(lateness: Lateness) -> None:
+async def collect_garbage_when_idle(lateness: Lateness) -> None:
     former = gc.get_threshold()
     gc.freeze()
     gc.set_threshold(*former[:2], NEVER)
--- a/linedeal/loop/inbox.py
+++ b/linedeal/loop/inbox.py
@@ -2,15 +2,17 @@
 
 import anyio
 
-from linedeal.engine import events as on
+from linedeal.engine import events
 
-MOST = 4096  # events that may wait before links have to: a slow engine slows its peers, it does not swell
+MAX_WAITING = (
+    4096  # events that may wait before links have to: a slow engine slows its peers, it does not swell
+)
 SHARE = 64  # events of one link in one turn
 
 
 def dear(event) -> bool:
     """A question whose answer is a page of standings costs as much as some hundred other events."""
-    return type(event) is on.StandingAsked and not event.key
+    return type(event) is events.StatusRequested and not event.key
 
 
 class Inbox:
@@ -26,12 +28,12 @@
         self.waiting += 1
         self.arrived.set()
 
-    async def post(self, *events) -> None:
+    async def post(self, *received) -> None:
         """In order; waits while too many are there already, and after its share until the turn has taken that."""
         given = 0
-        for event in events:
+        for event in received:
             if not given:
-                await self.ready()
+                await self.wait_for_space()
             self.put(event)
             given += 1
             if given == SHARE or dear(
@@ -40,12 +42,12 @@
                 await self.taken.wait()
                 given = 0
 
-    async def ready(self) -> None:
+    async def wait_for_space(self) -> None:
         """Waits while too many are there already."""
-        while self.waiting >= MOST:
+        while self.waiting >= MAX_WAITING:
             await self.taken.wait()
 
-    def turned(self) -> None:
+    def clear(self) -> None:
         """The engine has taken all that was there."""
         self.waiting = 0
         self.arrived = anyio.Event()
--- a/linedeal/platform/bus.py
+++ b/linedeal/platform/bus.py
@@ -9,7 +9,7 @@
 import h11
 import msgspec
 
-from linedeal.engine import events as on
+from linedeal.engine import events
 from linedeal.loop import Inbox
 from linedeal.net import Address, LinkLost, Net
 from linedeal.net.base import LOST, close_stream, reason
@@ -72,7 +72,7 @@
 
     number: int = 0
 
-    def take(self, batch: Batch, unix: float) -> list[on.ListHeard]:
+    def take(self, batch: Batch, unix: float) -> list[events.HostListReceived]:
         """Raises BadEvent at a hole: what it would have told has to be read again from the start."""
         heard, asked_from = [], self.number
         for event in batch.batch:
@@ -90,11 +90,11 @@
         return heard
 
 
-def listed(topology: Topology, unix: float) -> on.ListHeard:
+def listed(topology: Topology, unix: float) -> events.HostListReceived:
     if len(topology.servers) > HOSTS_MOST:
         raise BadEvent(f"an event that names {len(topology.servers)} hosts")
     hosts = tuple(
-        on.ListedHost(
+        events.ListedHost(
             server.id,
             (server.addr,),
             server.kind,
@@ -107,7 +107,7 @@
         )
         for server in topology.servers
     )
-    return on.ListHeard(hosts, topology.full, topology.version)
+    return events.HostListReceived(hosts, topology.full, topology.version)
 
 
 class BusPoll:
--- a/linedeal/platform/hostlink.py
+++ b/linedeal/platform/hostlink.py
@@ -8,8 +8,8 @@
 
 import anyio
 
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
+from linedeal.engine import effects
+from linedeal.engine import events
 from linedeal.interface import Mode, Reason, Result
 from linedeal.loop import Inbox
 from linedeal.net import FrameError, Link, LinkLost, Net, parse_address, read_what_came, until_lost
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        listed: on.ListedHost,
+        listed: events.ListedHost,
         net: Net,
         limits: Limits,
         idle: float,
@@ -104,7 +104,7 @@
 
     # -- for the engine's effects
 
-    def relist(self, listed: on.ListedHost) -> None:
+    def relist(self, listed: events.ListedHost) -> None:
         """What a newer list says. Launches that still wait for a host that drains, or is gone, go back."""
         if (listed.mode, listed.boot) != (self.listed.mode, self.listed.boot):
             self.log.info("host changed", host=listed.id, mode=listed.mode.name, age=round(listed.age, 1))
@@ -112,19 +112,19 @@
         if listed.mode is not Mode.SERVING:
             self.keep_back()
 
-    def launch(self, effect: do.SendLaunch) -> None:
+    def launch(self, effect: effects.SendLaunch) -> None:
         if len(self.outbox) >= QUEUE:
             self.hand_back([effect])
             return
         self.tasks_of[effect.number] = effect.work[:8]
         self.queue(effect)
 
-    def adopt(self, effect: do.Adopt) -> None:
+    def adopt(self, effect: effects.Adopt) -> None:
         self.tasks_of[effect.number] = effect.work[:8]
         self.standing[effect.work[:8]] = effect.number
         self.wake.set()
 
-    def probe(self, effect: do.SendProbe) -> None:
+    def probe(self, effect: effects.SendProbe) -> None:
         if len(self.outbox) < QUEUE:
             self.queue(effect)
 
@@ -136,7 +136,7 @@
         """Hands launches back that have not begun to leave, or that one."""
 
         def meant(effect):
-            return isinstance(effect, do.SendLaunch) and number in (None, effect.number)
+            return isinstance(effect, effects.SendLaunch) and number in (None, effect.number)
 
         back = []
         for holder in (self, *self.connections):
@@ -146,7 +146,7 @@
                 back += mine
         self.hand_back(back)
 
-    def hand_back(self, launches: list[do.SendLaunch]) -> None:
+    def hand_back(self, launches: list[effects.SendLaunch]) -> None:
         """Of these nothing was written, and nothing will be."""
         for effect in launches:
             self.tasks_of.pop(effect.number, None)
@@ -155,15 +155,15 @@
                     connection.unsent.discard(effect.number)
                     del connection.out[effect.work[:8]]
         if launches:
-            self.inbox.put(on.Unsent(self.listed.id, tuple(effect.number for effect in launches)))
+            self.inbox.put(events.LaunchesUnsent(self.listed.id, tuple(effect.number for effect in launches)))
 
-    def stop(self, effect: do.SendStop) -> None:
+    def stop(self, effect: effects.SendStop) -> None:
         """Gives a launch up, or ends what stands."""
         number = effect.launch.number
         self.keep_back(number)
         task = self.tasks_of.get(number)
         if task is None:
-            self.inbox.put(on.GivenUp(self.listed.id, (number,)))
+            self.inbox.put(events.LaunchesCancelled(self.listed.id, (number,)))
             return
         if self.standing.get(task) == number:
             if task not in self.stops:
@@ -185,9 +185,11 @@
                 ):  # not a word since: whatever else is out on it goes on, nothing new does
                     connection.shut = True
                 return
-        self.inbox.put(on.GivenUp(self.listed.id, (number,)))  # its connection has gone, and it with that
+        self.inbox.put(
+            events.LaunchesCancelled(self.listed.id, (number,))
+        )  # its connection has gone, and it with that
 
-    def forget(self, effect: do.PlacedOver) -> None:
+    def forget(self, effect: effects.NotifyEnded) -> None:
         task = self.tasks_of.pop(effect.number, None)
         if task is not None and self.standing.get(task) == effect.number:
             del self.standing[task]
@@ -223,7 +225,7 @@
         now, wanted, stay, most = anyio.current_time(), False, deque(), self.most()
         while self.outbox:
             effect = self.outbox.popleft()
-            launch = isinstance(effect, do.SendLaunch)
+            launch = isinstance(effect, effects.SendLaunch)
             best = self.best(effect.work[:8] if launch else None)
             if best is None:
                 stay.append(effect)
@@ -284,14 +286,14 @@
         self.refusals = self.refusals + 1 if refused else 0
         self.shut_until = now + RETRY
         if not self.connections:
-            unsent = tuple(e.number for e in self.outbox if isinstance(e, do.SendLaunch))
+            unsent = tuple(e.number for e in self.outbox if isinstance(e, effects.SendLaunch))
             self.outbox.clear()
             for number in unsent:
                 self.tasks_of.pop(number, None)
-            await self.inbox.post(on.LinkDown(self.listed.id, 0, unsent, why))
+            await self.inbox.post(events.LinkDown(self.listed.id, 0, unsent, why))
             if self.standing and (self.refusals >= REFUSALS or now - self.heard_at > LOST_AFTER):
                 self.log.warning("host lost", host=self.listed.id, reason=why, standing=len(self.standing))
-                await self.inbox.post(on.HostLost(self.listed.id))
+                await self.inbox.post(events.HostLost(self.listed.id))
         self.tasks.start_soon(self.wake_later, RETRY)
 
     async def wake_later(self, seconds: float) -> None:
@@ -323,7 +325,7 @@
             bool(self.standing) and anyio.current_time() - connection.used_at < self.idle * IDLE_SHARE
         )
         self.outbox.extendleft(
-            effect for effect in reversed(connection.outbox) if isinstance(effect, do.SendProbe)
+            effect for effect in reversed(connection.outbox) if isinstance(effect, effects.SendProbe)
         )
         unsent = tuple(number for number in connection.out.values() if number in connection.unsent)
         if connection.out:
@@ -331,9 +333,9 @@
                 "launches cut", host=self.listed.id, reason=why, out=len(connection.out), unsent=len(unsent)
             )
         if connection.recalled:
-            self.inbox.put(on.GivenUp(self.listed.id, tuple(connection.recalled.values())))
+            self.inbox.put(events.LaunchesCancelled(self.listed.id, tuple(connection.recalled.values())))
         if connection.out or connection.probes:
-            await self.inbox.post(on.LinkDown(self.listed.id, connection.number, unsent, why))
+            await self.inbox.post(events.LinkDown(self.listed.id, connection.number, unsent, why))
         self.wake.set()
 
     async def write(self, connection: Connection) -> None:
@@ -350,7 +352,7 @@
                 if recalled:
                     for task in recalled:
                         del connection.recalled[task]
-                    self.inbox.put(on.GivenUp(self.listed.id, tuple(recalled.values())))
+                    self.inbox.put(events.LaunchesCancelled(self.listed.id, tuple(recalled.values())))
 
     def gather(self, connection: Connection) -> bytes:
         """The bytes of the next write. The engine is told of launches in it before the first byte goes."""
@@ -359,7 +361,7 @@
             effect = connection.outbox.popleft()
             if isinstance(effect, bytes):
                 data += effect
-            elif isinstance(effect, do.SendProbe):
+            elif isinstance(effect, effects.SendProbe):
                 probe = effect.number.to_bytes(8)
                 connection.probes[probe] = effect.number
                 data += hosts.encode(Type.PING, probe, hosts.parameter(Code.CAUSE, b"\x01"))
@@ -373,18 +375,18 @@
                 data += hosts.encode(Type.SETUP, effect.work[:8], effect.work[8:] + wait)
                 asks = True
         if numbers:
-            self.inbox.put(on.Left(self.listed.id, connection.number, tuple(numbers)))
+            self.inbox.put(events.LaunchesSent(self.listed.id, connection.number, tuple(numbers)))
         if asks and not connection.asked_at:
             connection.asked_at = now
         return bytes(data)
 
-    def stale(self, effect: do.SendLaunch, now: float) -> bool:
+    def stale(self, effect: effects.SendLaunch, now: float) -> bool:
         """Whether what it was decided on holds no more: a host that started again is cold, one that drains takes
         nothing, a labelled job's mark is forgotten, nobody waits for the job of an owner that has gone."""
         return (
             effect.boot != self.listed.boot
             or self.listed.mode is not Mode.SERVING
-            or now >= min(effect.due, effect.leave_by)
+            or now >= min(effect.due, effect.send_by)
             or not self.wanted(effect.work[:8])
         )
 
@@ -394,7 +396,7 @@
             now = connection.used_at = self.heard_at = anyio.current_time()
             connection.asked_at, connection.tested = 0.0, False
             connection.unfinished_at = now if connection.link.reader.rest else 0.0
-            events, fault = [], None
+            received, fault = [], None
             for frame in frames:
                 try:
                     event = self.said(connection, frame)
@@ -402,11 +404,11 @@
                     fault = error
                     break
                 if event is not None:
-                    events.append(event)
+                    received.append(event)
                     connection.idle_talk = 0
                 elif frame.type in (Type.ANSWER, Type.RELEASE):
                     connection.idle_talk += 1
-            await self.inbox.post(*events)
+            await self.inbox.post(*received)
             if fault is not None:
                 raise LinkLost(f"bad frame: {fault}")
             if connection.idle_talk > IDLE_TALK:  # guards against one that takes the loop from all others
@@ -467,13 +469,13 @@
             value = hosts.figure(frame.text(Code.FIGURE)) if what != "started" else 1.0
             if number is None or what is None or value is None:
                 return None
-            return on.Told(host, on.LaunchId(LIFE, number), what, value)
+            return events.MetricReported(host, events.LaunchId(LIFE, number), what, value)
         if frame.type == Type.PONG:
             number = connection.probes.pop(task, None)
             if number is None or frame.cause() != 1:
                 return None
             figures = frame.pairs(Code.REPORT)
-            return on.Reported(
+            return events.ProbeReported(
                 host,
                 number,
                 {
@@ -492,7 +494,7 @@
                 raise FrameError("an answer without a description")
             number = connection.out.pop(task)
             self.standing[task] = number
-            return on.Accepted(host, on.LaunchId(LIFE, number), description)
+            return events.Accepted(host, events.LaunchId(LIFE, number), description)
         if frame.type == Type.ANSWER and task in connection.recalled:
             return self.after_all(connection, frame)
         if frame.type == Type.RELEASE:
@@ -511,7 +513,9 @@
         number = connection.recalled.pop(task)
         self.tasks_of[number] = task
         self.standing[task] = number
-        return on.Accepted(self.listed.id, on.LaunchId(LIFE, number), description, instead=True)
+        return events.Accepted(
+            self.listed.id, events.LaunchId(LIFE, number), description, cancel_withdrawn=True
+        )
 
     def released(self, connection: Connection, frame: hosts.Frame):
         host, task, cause = self.listed.id, frame.task, frame.cause()
@@ -523,18 +527,20 @@
         if number is not None and number not in connection.unsent:
             del connection.out[task]
             self.tasks_of.pop(number, None)
-            launch = on.LaunchId(LIFE, number)
+            launch = events.LaunchId(LIFE, number)
             if cause == owners.REFUSED:
-                return on.Refused(host, launch, why)
+                return events.Refused(host, launch, why)
             if cause == owners.NEVER_LEFT:
-                return on.Unsent(host, (number,))
-            return on.Over(host, launch, Result.ERROR if cause == owners.FAILED else Result.CUT, why)
+                return events.LaunchesUnsent(host, (number,))
+            return events.LaunchEnded(
+                host, launch, Result.ERROR if cause == owners.FAILED else Result.CUT, why
+            )
         number = self.standing.pop(task, None)
         if number is None:
             return None
         self.tasks_of.pop(number, None)
         self.stops.pop(task, None)
-        return on.Over(host, on.LaunchId(LIFE, number), ENDS.get(cause, Result.CUT), why)
+        return events.LaunchEnded(host, events.LaunchId(LIFE, number), ENDS.get(cause, Result.CUT), why)
 
 
 def test() -> bytes:
--- a/linedeal/platform/ownerlink.py
+++ b/linedeal/platform/ownerlink.py
@@ -240,7 +240,7 @@
             await owner.came.wait()
             owner.came = anyio.Event()
             while owner.lines:
-                await self.inbox.ready()
+                await self.inbox.wait_for_space()
                 if self.hear(owner, *owner.lines.popleft()).usual is False:
                     await self.unusual(owner)
                 owner.room.set()
--- a/linedeal/platform/route.py
+++ b/linedeal/platform/route.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass
 
 from linedeal import interface as api
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
+from linedeal.engine import effects
+from linedeal.engine import events
 from linedeal.platform import hosts, owners
 from linedeal.platform.hosts import Code
 
@@ -87,7 +87,7 @@
         work = work_of(line.id, ask, line.sdp)
         if ask.at:
             return Heard(
-                on.Standing(
+                events.RunningJobHandedOver(
                     client,
                     line.id,
                     ask.offering,
@@ -101,7 +101,7 @@
             )
         self.open.setdefault(client, set()).add(task.id)
         return Heard(
-            on.Submitted(
+            events.Submitted(
                 client,
                 line.id,
                 ask.offering,
@@ -120,11 +120,11 @@
             return Heard(usual=None)  # it may have crossed ours
         if task.stands:  # belongs to no connection
             task.ending = True
-            return Heard(on.PlacedEnded(task.job))
+            return Heard(events.StopRequested(task.job))
         if task.client != client:
             raise Unwelcome("it gives up what another connection has open")
         self.drop(task)
-        return Heard(on.TakenBack(client, task.id))
+        return Heard(events.JobWithdrawn(client, task.id))
 
     def outlives(self, line: owners.Line) -> bool:
         """Whether it counts though the connection that brought it has gone: what is about jobs that stand."""
@@ -132,10 +132,10 @@
             return "at:" in str(line.fields.get("extras", ""))
         return line.type == "release" and line.id in self.tasks and self.tasks[line.id].stands
 
-    def client_left(self, client: int) -> on.ClientLeft:
+    def client_left(self, client: int) -> events.ClientDisconnected:
         for task in list(self.open.get(client, ())):
             self.drop(self.tasks[task])
-        return on.ClientLeft(client)
+        return events.ClientDisconnected(client)
 
     def drop(self, task: Task) -> None:
         self.tasks.pop(task.id, None)
@@ -151,32 +151,32 @@
 
     # -- from the engine; each gives the connection meant, or 0 for none, and the bytes for it
 
-    def taken(self, effect: do.Take | do.Adopt) -> None:
+    def taken(self, effect: effects.AcceptJob | effects.Adopt) -> None:
         task = self.tasks.get(effect.key)
         if task is not None:
             task.job = effect.job
             self.by_job[effect.job] = task
 
-    def turned_away(self, effect: do.TurnAway) -> tuple[int, bytes]:
+    def turned_away(self, effect: effects.DeclineJob) -> tuple[int, bytes]:
         task = self.tasks.get(effect.key)
         if task is None or task.client != effect.client:
             return 0, b""
         self.drop(task)
         return task.client, owners.release(task.id, owners.REFUSED)
 
-    def answer(self, effect: do.Answer) -> tuple[int, bytes]:
+    def answer(self, effect: effects.Answer) -> tuple[int, bytes]:
         task = self.by_job.get(effect.job)
         if task is None:
             return 0, b""
-        if effect.verdict is do.Verdict.PLACED:
+        if effect.verdict is effects.Verdict.PLACED:
             task.stands = True
             self.answered(task)
-            return task.client, owners.answer(task.id, effect.said)
+            return task.client, owners.answer(task.id, effect.host_reply)
         self.drop(task)
-        cause = owners.REFUSED if effect.verdict is do.Verdict.REJECTED else owners.FAILED
+        cause = owners.REFUSED if effect.verdict is effects.Verdict.REJECTED else owners.FAILED
         return task.client, owners.release(task.id, cause)
 
-    def over(self, effect: do.PlacedOver) -> tuple[int, bytes]:
+    def over(self, effect: effects.NotifyEnded) -> tuple[int, bytes]:
         """What stood has ended: its owner hears of it, unless it was the owner that ended it."""
         task = self.by_job.get(effect.job)
         if task is None:
--- a/linedeal/platform/service.py
+++ b/linedeal/platform/service.py
@@ -9,10 +9,10 @@
 import anyio
 
 from linedeal.engine import Engine
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
+from linedeal.engine import effects
+from linedeal.engine import events
 from linedeal.interface import Mode
-from linedeal.loop import Inbox, Lateness, Turning, collect_when_quiet
+from linedeal.loop import Inbox, Lateness, EngineStepper, collect_garbage_when_idle
 from linedeal.net import Net, read_what_came
 from linedeal.platform import config
 from linedeal.platform.bus import BadEvent, BusPoll, Feed
@@ -41,10 +41,10 @@
         numbers = itertools.count(1)
         self.next_number = lambda: next(numbers)
         self.engine = Engine(
-            setup.cluster, setup.name, LIFE, setup.seed, anyio.current_time(), accounts_given=False
+            setup.cluster, setup.name, LIFE, setup.seed, anyio.current_time(), hosts_send_inventory=False
         )
         self.inbox = Inbox(self.engine.put)
-        self.turning = Turning(self.engine, self.inbox, setup.cluster.limits.tick)
+        self.stepper = EngineStepper(self.engine, self.inbox, setup.cluster.limits.tick)
         self.route = Route(setup.cluster.settings)
         self.descriptors = Descriptors(setup.sockets)
         self.lateness = Lateness()
@@ -63,7 +63,7 @@
                 self.tasks.start_soon(self.bus.run)
                 self.tasks.start_soon(self.tell)
                 self.tasks.start_soon(self.lateness.run)
-                self.tasks.start_soon(collect_when_quiet, self.lateness)
+                self.tasks.start_soon(collect_garbage_when_idle, self.lateness)
                 address = await self.tasks.start(self.owners.run, setup.listen)
                 self.log.info(
                     "takes jobs", address="%s:%d" % address, hosts=len(self.hosts), events=self.feed.number
@@ -86,7 +86,7 @@
                 self.reload()
             else:
                 self.leaving_at = min(self.leaving_at, anyio.current_time())
-                self.log.info("leaves", owed=len(self.engine.taken))
+                self.log.info("leaves", owed=len(self.engine.unanswered))
                 self.inbox.arrived.set()
 
     def reload(self) -> None:
@@ -99,7 +99,7 @@
         self.log.info("configuration read", bus="%s:%d" % fresh.bus)
 
     def turn(self) -> None:
-        for effect in self.turning.turn():
+        for effect in self.stepper.step():
             self.carry(effect)
         self.route.ready = self.engine.ready
 
@@ -113,21 +113,21 @@
             await self.owners.closed()  # before a turn that may be long
             now = anyio.current_time()
             # guards against jobs without end that keep it from ending: who comes later than any should is turned away
-            self.engine.leaving = now >= self.leaving_at + COMING
+            self.engine.shutting_down = now >= self.leaving_at + COMING
             self.turn()
             since = now - self.leaving_at
             if since >= leave_most or since >= COMING and not self.owes(since):
                 await self.owners.flush(PASS_ON)
                 await read_what_came()
                 if since >= leave_most or not self.brought():
-                    self.log.info("ends", owed=len(self.engine.taken))
+                    self.log.info("ends", owed=len(self.engine.unanswered))
                     return
             due = self.engine.next_due()
             if self.leaving_at <= now:
                 due = min(due, self.leaving_at + min(step for step in steps if step > since))
                 if self.owners.unwritten():
                     due = min(due, now + PASS_ON)
-            await self.turning.wait(due)
+            await self.stepper.wait(due)
 
     def brought(self) -> bool:
         """Whether something has come meanwhile that is owed an answer, or an answer is not written."""
@@ -135,13 +135,13 @@
             self.owners.unwritten()
             or self.owners.lines_wait()
             or self.owners.coming()
-            or any(type(event) is on.Submitted for event in self.engine.arrived)
+            or any(type(event) is events.Submitted for event in self.engine.arrived)
         )
 
     def owes(self, since: float) -> bool:
         """So long after SIGTERM. What is owed an answer is waited for: each job has its answer by its expiry, and one that
         ends with its connection would be lost. What stands goes on at its hosts; its ends are passed on for a while."""
-        return bool(self.engine.taken) or bool(self.route.tasks) and since < STANDING_MOST
+        return bool(self.engine.unanswered) or bool(self.route.tasks) and since < STANDING_MOST
 
     def carry(self, effect) -> None:
         kind = type(effect)
@@ -149,37 +149,37 @@
             link = self.hosts.get(effect.host)
             if link is not None:
                 LINK_EFFECTS[kind](link, effect)
-            elif kind is do.SendLaunch:
-                self.inbox.put(on.Unsent(effect.host, (effect.number,)))
-            elif kind is do.SendStop:
-                self.inbox.put(on.GivenUp(effect.host, (effect.launch.number,)))
+            elif kind is effects.SendLaunch:
+                self.inbox.put(events.LaunchesUnsent(effect.host, (effect.number,)))
+            elif kind is effects.SendStop:
+                self.inbox.put(events.LaunchesCancelled(effect.host, (effect.launch.number,)))
         if kind in OWNER_EFFECTS:
-            if kind is do.Adopt or kind is do.Answer and effect.verdict is do.Verdict.PLACED:
+            if kind is effects.Adopt or kind is effects.Answer and effect.verdict is effects.Verdict.PLACED:
                 self.owners.serves(effect.client)
             told = OWNER_EFFECTS[kind](self.route, effect)
             if told is not None:
-                self.owners.send(*told, lasting=kind is do.PlacedOver)
-                if kind is do.Answer and effect.verdict is do.Verdict.PLACED and not told[1]:
+                self.owners.send(*told, lasting=kind is effects.NotifyEnded)
+                if kind is effects.Answer and effect.verdict is effects.Verdict.PLACED and not told[1]:
                     # its owner has gone meanwhile, and the engine takes it for answered: nobody would end it there
-                    self.inbox.put(on.PlacedEnded(effect.job))
-        elif kind is do.KnowHost:
+                    self.inbox.put(events.StopRequested(effect.job))
+        elif kind is effects.AddHost:
             self.know(effect.host)
-        elif kind is do.DropHost:
+        elif kind is effects.RemoveHost:
             link = self.hosts.pop(effect.host, None)
             if link is not None:
                 link.cancel()
-        elif kind is do.Note:
+        elif kind is effects.LogMessage:
             self.note(effect)
         elif kind not in LINK_EFFECTS and kind not in NEEDLESS:
             raise TypeError(f"nothing carries out {effect!r}")
 
-    def note(self, effect: do.Note) -> None:
+    def note(self, effect: effects.LogMessage) -> None:
         """Bounded in rate: a trouble that goes on is told by its count."""
         count = self.said[effect.event] = self.said.get(effect.event, 0) + 1
         if count <= NOTES_MOST:
             getattr(self.log, effect.level)(effect.event, **dict(effect.fields))
 
-    def know(self, listed: on.ListedHost) -> None:
+    def know(self, listed: events.ListedHost) -> None:
         link = self.hosts.get(listed.id)
         if link is None:
             if listed.mode is Mode.GONE:
@@ -216,9 +216,9 @@
             }
             self.log.info(
                 "at work",
-                held=len(self.engine.taken),
+                held=len(self.engine.unanswered),
                 waiting=len(self.engine.module.waiting),
-                standing=len(self.route.tasks) - len(self.engine.taken),
+                standing=len(self.route.tasks) - len(self.engine.unanswered),
                 owners=len(self.owners.links),
                 links=sum(len(link.connections) for link in self.hosts.values()),
                 hosts=len(self.hosts),
@@ -237,18 +237,21 @@
 
 
 LINK_EFFECTS = {
-    do.SendLaunch: HostLink.launch,
-    do.SendProbe: HostLink.probe,
-    do.SendStop: HostLink.stop,
-    do.Unsend: lambda link, effect: link.keep_back(effect.number),
-    do.Adopt: HostLink.adopt,
-    do.PlacedOver: HostLink.forget,
+    effects.SendLaunch: HostLink.launch,
+    effects.SendProbe: HostLink.probe,
+    effects.SendStop: HostLink.stop,
+    effects.WithholdLaunch: lambda link, effect: link.keep_back(effect.number),
+    effects.Adopt: HostLink.adopt,
+    effects.NotifyEnded: HostLink.forget,
 }
 OWNER_EFFECTS = {
-    do.Take: Route.taken,
-    do.Adopt: Route.taken,
-    do.TurnAway: Route.turned_away,
-    do.Answer: Route.answer,
-    do.PlacedOver: Route.over,
+    effects.AcceptJob: Route.taken,
+    effects.Adopt: Route.taken,
+    effects.DeclineJob: Route.turned_away,
+    effects.Answer: Route.answer,
+    effects.NotifyEnded: Route.over,
 }
-NEEDLESS = (do.Watch, do.SendEndSeen)  # the bus is read all the time, and hosts wait for no word of an end
+NEEDLESS = (
+    effects.Watch,
+    effects.SendEndSeen,
+)  # the bus is read all the time, and hosts wait for no word of an end
--- a/linedeal/state/journal.py
+++ b/linedeal/state/journal.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-from linedeal.engine import effects as do
+from linedeal.engine import effects
 from linedeal.engine.events import LaunchId, Ran
 from linedeal.engine.ledger import VERDICTS
-from linedeal.engine.recovery import KeptAnswer, OldLaunch, OpenJob
+from linedeal.engine.recovery import StoredAnswer, OldLaunch, OpenJob
 from linedeal.interface import Job
 from linedeal.state.store import Store, StoreFault
 
@@ -39,7 +39,7 @@
     """What earlier lives left: jobs owed an answer, and jobs answered and not forgotten."""
 
     open: tuple[OpenJob, ...]
-    answers: tuple[KeptAnswer, ...]
+    answers: tuple[StoredAnswer, ...]
 
 
 class Journal:
@@ -96,10 +96,10 @@
 
     # -- writing
 
-    def write(self, at: float, life: int, effects: list) -> None:
+    def write(self, at: float, life: int, emitted: list) -> None:
         """All that these effects ask to be kept, in one transaction. Raises StoreFault; then nothing of it is kept."""
         try:
-            self.transact(at, life, effects)
+            self.transact(at, life, emitted)
         except sqlite3.Error as error:
             if not is_full(error):
                 raise StoreFault(f"{self.store.path}: journal cannot be written: {error}") from None
@@ -107,14 +107,14 @@
             self.give_spare()
             try:
                 self.db.execute(f"PRAGMA max_page_count={max((self.most + self.spare) // self.page, 64)}")
-                self.transact(at, life, effects)
+                self.transact(at, life, emitted)
             except sqlite3.Error as again:
                 raise JournalFull(f"{self.store.path}: journal cannot be written: {again}") from None
 
-    def transact(self, at, life, effects) -> None:
+    def transact(self, at, life, emitted) -> None:
         try:
             self.db.execute("BEGIN IMMEDIATE")
-            for effect in effects:
+            for effect in emitted:
                 WRITERS[type(effect)](self, at, life, effect)
             self.db.execute("COMMIT")
         except sqlite3.Error:
@@ -122,9 +122,9 @@
                 self.db.execute("ROLLBACK")
             raise
 
-    def take(self, at, life, effect: do.Take) -> None:
+    def take(self, at, life, effect: effects.AcceptJob) -> None:
         # the promise goes into the job's record, where older versions pass over it
-        job = msgspec.msgpack.encode(msgspec.to_builtins(effect.record) | {"promise": effect.promise})
+        job = msgspec.msgpack.encode(msgspec.to_builtins(effect.record) | {"promise": effect.guarantee})
         starts = at + effect.start_in if effect.start_in else None
         expires = effect.expires_in if effect.held or starts else at + effect.expires_in
         self.db.execute(
@@ -145,14 +145,14 @@
             ),
         )
 
-    def launch(self, at, life, effect: do.SendLaunch) -> None:
+    def launch(self, at, life, effect: effects.SendLaunch) -> None:
         self.db.execute(
             "INSERT INTO launches VALUES (?, ?, ?, ?, ?, ?, 0)",
             (life, effect.number, effect.job.id, effect.host, effect.boot, at),
         )
 
-    def answer(self, at, life, effect: do.Answer) -> None:
-        stage, over = VERDICTS[effect.verdict.value].name, effect.verdict is not do.Verdict.PLACED
+    def answer(self, at, life, effect: effects.Answer) -> None:
+        stage, over = VERDICTS[effect.verdict.value].name, effect.verdict is not effects.Verdict.PLACED
         self.db.execute(
             "UPDATE jobs SET verdict = ?, host = ?, answered = ?, stage = ?, life = ?, number = ?, reason = ?, ended = ? "
             "WHERE id = ?",
@@ -168,23 +168,23 @@
             ),
         )
 
-    def hold(self, at, life, effect: do.KeepHold) -> None:
+    def hold(self, at, life, effect: effects.RecordHold) -> None:
         self.db.execute(
             "UPDATE jobs SET held = ?, starts = NULL, expires = ? WHERE id = ?",
-            (effect.held, effect.left if effect.held else at + effect.left, effect.job),
+            (effect.held, effect.remaining if effect.held else at + effect.remaining, effect.job),
         )
 
-    def course(self, at, life, effect: do.KeepCourse) -> None:
+    def course(self, at, life, effect: effects.RecordProgress) -> None:
         ran = None if effect.ran is None else msgspec.msgpack.encode(effect.ran)
         self.db.execute(
             "UPDATE jobs SET stage = ?, reason = ?, ran = ?, ended = ?, ending = ? WHERE id = ?",
             (effect.stage, effect.reason, ran, at if effect.over else None, effect.ending, effect.job),
         )
 
-    def void(self, at, life, effect: do.KeepVoid) -> None:
+    def void(self, at, life, effect: effects.RecordNotRun) -> None:
         self.db.execute("UPDATE launches SET void = 1 WHERE life = ? AND number = ?", effect.launch)
 
-    def drop(self, at, life, effect: do.KeepNoMore) -> None:
+    def drop(self, at, life, effect: effects.DeleteRecord) -> None:
         self.db.execute("DELETE FROM launches WHERE job = ?", (effect.job,))
         self.db.execute("DELETE FROM jobs WHERE id = ?", (effect.job,))
 
@@ -252,7 +252,7 @@
 
             if stage is not None:
                 answers.append(
-                    KeptAnswer(
+                    StoredAnswer(
                         session,
                         key,
                         job,
@@ -295,25 +295,27 @@
     return code is not None and code & 0xFF == sqlite3.SQLITE_FULL
 
 
-def to_keep(effects: list) -> list:
+def to_keep(emitted: list) -> list:
     """Those of a turn's effects that have to be on disk before any of the turn is carried out."""
     return [
         effect
-        for effect in effects
-        if isinstance(effect, (do.KeepVoid, do.KeepNoMore, do.KeepHold, do.KeepCourse))
-        or isinstance(effect, do.Take)
+        for effect in emitted
+        if isinstance(
+            effect, (effects.RecordNotRun, effects.DeleteRecord, effects.RecordHold, effects.RecordProgress)
+        )
+        or isinstance(effect, effects.AcceptJob)
         and effect.record is not None
-        or isinstance(effect, (do.SendLaunch, do.Answer))
-        and effect.keep
+        or isinstance(effect, (effects.SendLaunch, effects.Answer))
+        and effect.persist
     ]
 
 
 WRITERS = {
-    do.Take: Journal.take,
-    do.SendLaunch: Journal.launch,
-    do.Answer: Journal.answer,
-    do.KeepVoid: Journal.void,
-    do.KeepNoMore: Journal.drop,
-    do.KeepHold: Journal.hold,
-    do.KeepCourse: Journal.course,
+    effects.AcceptJob: Journal.take,
+    effects.SendLaunch: Journal.launch,
+    effects.Answer: Journal.answer,
+    effects.RecordNotRun: Journal.void,
+    effects.DeleteRecord: Journal.drop,
+    effects.RecordHold: Journal.hold,
+    effects.RecordProgress: Journal.course,
 }
--- a/tests/checked_engine.py
+++ b/tests/checked_engine.py
@@ -3,8 +3,8 @@
 from dataclasses import replace
 
 from linedeal.engine import Engine
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
+from linedeal.engine import effects
+from linedeal.engine import events
 from linedeal.interface import Effect
 from linedeal.settings.cluster import parse_cluster
 from tests.engine_driver import CLUSTER, OWN_LIFE, EngineDriver
@@ -25,10 +25,10 @@
         for host in hosts:
             self.link_up(host, 1)
 
-    def step_without_timers(self, now, *events):
-        effects = super().step_without_timers(now, *events)
-        self.log += [(now, effect) for effect in effects]
-        return effects
+    def step_without_timers(self, now, *received):
+        emitted = super().step_without_timers(now, *received)
+        self.log += [(now, effect) for effect in emitted]
+        return emitted
 
     def submit_job(
         self,
@@ -45,13 +45,14 @@
         **rest,
     ):
         return self.step(
-            now, on.Submitted(client, key, offering, customer, service, cores, memory, wait, session, **rest)
+            now,
+            events.Submitted(client, key, offering, customer, service, cores, memory, wait, session, **rest),
         )
 
     def accept(self, now, sent):
         """The host accepts a launch, and its frame has left."""
-        self.step(now, on.Left(sent.host, self.links[sent.host], (sent.number,)))
-        return self.host_reply(on.Accepted, sent, now)
+        self.step(now, events.LaunchesSent(sent.host, self.links[sent.host], (sent.number,)))
+        return self.host_reply(events.Accepted, sent, now)
 
     def check_rules(self, until, answered=True):
         """Rules 1 and 2 on all that was done: each job taken has one answer by `until`, nothing goes out after it, and
@@ -60,15 +61,15 @@
         taken, answers, sent = {}, {}, {}
         for now, effect in self.log:
             match effect:
-                case do.Take(_, _, job):
+                case effects.AcceptJob(_, _, job):
                     taken.setdefault(job, now)
-                case do.SendLaunch(_, _, job):
+                case effects.SendLaunch(_, _, job):
                     assert job.id not in answers, f"{job.id} was sent after its answer"
                     sent.setdefault(job.id, []).append(effect)
                     offering = self.engine.cluster.settings.offerings.get(job.offering)
                     if offering and offering.effect is Effect.IRREVERSIBLE:
                         assert len(sent[job.id]) == 1, f"{job.id} was sent twice"
-                case do.Answer(_, _, job, verdict):
+                case effects.Answer(_, _, job, verdict):
                     assert job not in answers, f"{job} was answered twice"
                     answers[job] = verdict.value
         if answered:
--- a/tests/engine_driver.py
+++ b/tests/engine_driver.py
@@ -2,8 +2,8 @@
 
 from linedeal import interface as api
 from linedeal.engine import Engine
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
+from linedeal.engine import effects
+from linedeal.engine import events
 from linedeal.settings.cluster import parse_cluster
 
 CLUSTER = """
@@ -57,20 +57,20 @@
         for host in hosts:
             self.link_up(host, 1)
 
-    def step(self, now, *events):
+    def step(self, now, *received):
         """Events at `now`, after the timers due before then; what those brought forth is kept in `timer_effects`."""
         self.timer_effects = self.advance(now - 1e-6) if now > self.now else []
-        return self.step_without_timers(now, *events)
+        return self.step_without_timers(now, *received)
 
-    def step_without_timers(self, now, *events):
+    def step_without_timers(self, now, *received):
         """As of a process that stood still: nothing rang meanwhile."""
         self.now = now
-        for event in events:
+        for event in received:
             self.engine.put(event)
-        return self.engine.turn(now)
+        return self.engine.step(now)
 
-    def of_type(self, kind, effects):
-        return [effect for effect in effects if isinstance(effect, kind)]
+    def of_type(self, kind, emitted):
+        return [effect for effect in emitted if isinstance(effect, kind)]
 
     def list_hosts(self, hosts, now=0.0, **changes):
         fields = (
@@ -87,30 +87,32 @@
             )
             | changes
         )
-        return self.step(now, on.ListHeard(tuple(on.ListedHost(host, **fields) for host in hosts), True, 1))
+        return self.step(
+            now, events.HostListReceived(tuple(events.ListedHost(host, **fields) for host in hosts), True, 1)
+        )
 
     def link_up(self, host, boot, now=0.0, held=(), forgot=False, age=100.0):
         self.links[host] = self.links.get(host, 0) + 1
-        return self.step(now, on.LinkUp(host, self.links[host], boot, age, tuple(held), forgot))
+        return self.step(now, events.LinkUp(host, self.links[host], boot, age, tuple(held), forgot))
 
     def link_down(self, host, now, unsent=()):
-        return self.step(now, on.LinkDown(host, self.links[host], tuple(unsent)))
+        return self.step(now, events.LinkDown(host, self.links[host], tuple(unsent)))
 
     def submit(self, now, offering="web", key="k", client=1, cores=1.0, service="s"):
-        return self.step(now, on.Submitted(client, key, offering, "", service, cores, 1.0, 0.0))
+        return self.step(now, events.Submitted(client, key, offering, "", service, cores, 1.0, 0.0))
 
     def launch(self, now, offering="web", leave=True, **rest):
         """A job whose launch is out; with `leave`, its frame has left."""
-        sent = self.of_type(do.SendLaunch, self.submit(now, offering, **rest))[0]
+        sent = self.of_type(effects.SendLaunch, self.submit(now, offering, **rest))[0]
         if leave:
-            self.step(now, on.Left(sent.host, self.links[sent.host], (sent.number,)))
+            self.step(now, events.LaunchesSent(sent.host, self.links[sent.host], (sent.number,)))
         return sent
 
     def host_reply(self, kind, sent, now, *rest):
-        return self.step(now, kind(sent.host, on.LaunchId(OWN_LIFE, sent.number), *rest))
+        return self.step(now, kind(sent.host, events.LaunchId(OWN_LIFE, sent.number), *rest))
 
-    def verdicts(self, effects):
-        return [effect.verdict.value for effect in self.of_type(do.Answer, effects)]
+    def verdicts(self, emitted):
+        return [effect.verdict.value for effect in self.of_type(effects.Answer, emitted)]
 
     def advance(self, until):
         """Rings all timers up to then, each at its time."""
--- a/tests/test_collecting.py
+++ b/tests/test_collecting.py
@@ -6,7 +6,7 @@
 import anyio
 import pytest
 
-from linedeal.loop import collect_when_quiet, collecting
+from linedeal.loop import collect_garbage_when_idle, garbage
 
 pytestmark = pytest.mark.anyio
 
@@ -35,8 +35,8 @@
 
 @pytest.fixture
 def quick(monkeypatch):
-    monkeypatch.setattr(collecting, "LOOK", 0.01)
-    monkeypatch.setattr(collecting, "BETWEEN", 0.02)
+    monkeypatch.setattr(garbage, "LOOK", 0.01)
+    monkeypatch.setattr(garbage, "BETWEEN", 0.02)
 
 
 def hold(many):
@@ -60,7 +60,7 @@
         del made[:]
         kept = hold_until(made)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(collect_when_quiet, late)
+            tasks.start_soon(collect_garbage_when_idle, late)
             await anyio.sleep(0.05)
             del made[:]
             kept += hold(2 * len(kept))
@@ -75,10 +75,10 @@
 
 
 async def test_one_is_made_after_a_while_however_late_the_loop_is(quick, monkeypatch):
-    monkeypatch.setattr(collecting, "MOST", 0.1)
+    monkeypatch.setattr(garbage, "MOST", 0.1)
     with full_collections() as made:
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(collect_when_quiet, Late())
+            tasks.start_soon(collect_garbage_when_idle, Late())
             with anyio.fail_after(5):
                 while not made:
                     await anyio.sleep(0.01)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -191,7 +191,7 @@
         engine = ground.servers["c1"].engine
         front = ground.servers["c1"].front
         left = (
-            dict(engine.taken),
+            dict(engine.unanswered),
             [link for link in ground.servers["c1"].links.values() if link.outbox],
             list(front.clients.values()),
         )
@@ -288,7 +288,7 @@
     async def work(ground):
         await anyio.sleep(1.0)
         engine, most = seen["runtime"].engine, [0, 0]
-        turn = engine.turn
+        turn = engine.step
 
         def counted(now):
             most[0] = max(most[0], len(engine.arrived))
@@ -296,7 +296,7 @@
             most[1] = max(most[1], len(effects))
             return effects
 
-        engine.turn = counted
+        engine.step = counted
         good, verdicts = Client.connect(ground.net, ("c1", 1), "good"), []
 
         async def misbehave():
@@ -322,7 +322,7 @@
                     verdicts.append((await client.submit(ask)).verdict)
                 await anyio.sleep(0.1)
         await anyio.sleep(8.0)
-        held = [job for job in engine.taken.values() if job.job.customer != "rogue"]
+        held = [job for job in engine.unanswered.values() if job.job.customer != "rogue"]
         return verdicts, most, held, seen["runtime"].front.clients, judged(ground, day)
 
     verdicts, most, held, clients, breaches = play.in_memory(day, work, runtime=Counted)
@@ -398,7 +398,7 @@
         await anyio.sleep(7.0)
         return (
             len(ground.servers["c1"].front.clients),
-            len(ground.servers["c1"].engine.taken),
+            len(ground.servers["c1"].engine.unanswered),
             judged(ground, day),
         )
 
@@ -639,7 +639,7 @@
                 await owner.until(keys.values(), lambda standing: standing.over, every=True)
             told = {stage: owner.standing(key).stage for stage, key in keys.items()}
         engine = ground.servers["c1"].engine
-        return told, dict(engine.taken), judged(ground, day)
+        return told, dict(engine.unanswered), judged(ground, day)
 
     told, taken, breaches = play.in_memory(day, work)
     assert not taken and not breaches, breaches
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -5,8 +5,8 @@
 from linedeal import audit
 from linedeal.controller import runtime
 from linedeal.engine import Engine
-from linedeal.engine import effects as do
-from linedeal.engine.engine import BrokenPromise
+from linedeal.engine import effects
+from linedeal.engine.engine import InvariantError
 from linedeal.engine import launches, recovery
 from linedeal.engine.launches import State
 from linedeal.interface import Mode, Result
@@ -215,7 +215,7 @@
     monkeypatch.setattr(Store, "next_life", lambda self: 1)
     try:
         caught = bool(played(day)[1])
-    except* BrokenPromise:  # it meets jobs of its own number on the hosts, and ends rather than go on
+    except* InvariantError:  # it meets jobs of its own number on the hosts, and ends rather than go on
         caught = True
     assert caught
 
@@ -223,17 +223,19 @@
 class Credulous(Engine):
     """Takes a late yes for an answer."""
 
-    def late_yes(self, launch):
-        taken = self.taken.get(launch.job.id)
+    def handle_late_acceptance(self, launch):
+        taken = self.unanswered.get(launch.job.id)
         if taken:
-            self.out.append(do.Answer(taken.client, taken.key, launch.job.id, do.Verdict.PLACED, launch.host))
+            self.emitted.append(
+                effects.Answer(taken.client, taken.key, launch.job.id, effects.Verdict.PLACED, launch.host)
+            )
 
 
 class Forgiving(Engine):
     """Answers nothing when a job is given up."""
 
     def answer(self, job_id, verdict, host="", launch=None):
-        if verdict is do.Verdict.PLACED:
+        if verdict is effects.Verdict.PLACED:
             super().answer(job_id, verdict, host)
 
 
@@ -252,7 +254,9 @@
     day = day_of(tmp_path, "at 1 slow hosts 1.4 for 8", "at 3 kill h01,h02 for 1", "at 4 kill h03,h04 for 1")
     assert not played(day)[1]
     monkeypatch.setattr(
-        launches, "cut", lambda launch: Result.UNREACHABLE if launch.state is State.OUT else None
+        launches,
+        "result_of_lost_link",
+        lambda launch: Result.UNREACHABLE if launch.state is State.OUT else None,
     )
     assert 2 in broken_rules(played(day)[1])
 
@@ -311,5 +315,5 @@
         "at 5 kill controllers for 0.2",
     )
     assert not played(day)[1]
-    monkeypatch.setattr(recovery, "ran", lambda launch, accounts: False)
+    monkeypatch.setattr(recovery, "may_have_run", lambda launch, accounts: False)
     assert 2 in broken_rules(played(day)[1])
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -3,43 +3,43 @@
 import pytest
 
 from linedeal import interface as api
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
-from linedeal.engine.engine import BrokenPromise
+from linedeal.engine import effects
+from linedeal.engine import events
+from linedeal.engine.engine import InvariantError
 from linedeal.interface import Reason, Result
 from tests.engine_driver import OWN_LIFE, EngineDriver
 
 
-def held_by(sent, phase=on.Phase.ACCEPTED, life=OWN_LIFE):
-    return on.Held(on.LaunchId(life, sent.number), sent.job, phase)
+def held_by(sent, phase=events.Phase.ACCEPTED, life=OWN_LIFE):
+    return events.HeldLaunch(events.LaunchId(life, sent.number), sent.job, phase)
 
 
 def test_a_job_is_taken_launched_and_answered_once():
     d = EngineDriver()
-    effects = d.submit(1.0)
-    assert [type(e) for e in effects] == [do.Take, do.SendProbe, do.SendLaunch]
-    sent = effects[-1]
-    d.step(1.0, on.Left(sent.host, 1, (sent.number,)))
-    assert d.verdicts(d.host_reply(on.Accepted, sent, 1.1)) == ["placed"]
-    assert d.verdicts(d.host_reply(on.Accepted, sent, 1.2)) == []
-    assert d.engine.taken == {}
+    emitted = d.submit(1.0)
+    assert [type(e) for e in emitted] == [effects.AcceptJob, effects.SendProbe, effects.SendLaunch]
+    sent = emitted[-1]
+    d.step(1.0, events.LaunchesSent(sent.host, 1, (sent.number,)))
+    assert d.verdicts(d.host_reply(events.Accepted, sent, 1.1)) == ["placed"]
+    assert d.verdicts(d.host_reply(events.Accepted, sent, 1.2)) == []
+    assert d.engine.unanswered == {}
 
 
 def test_a_yes_after_the_time_out_is_no_answer_and_stops_the_copy():
     # guards against a late yes that is believed: the job is launched elsewhere by then
     d = EngineDriver()
     first = d.launch(1.0)
-    effects = d.advance(1.6)
-    second = d.of_type(do.SendLaunch, effects)[0]
+    emitted = d.advance(1.6)
+    second = d.of_type(effects.SendLaunch, emitted)[0]
     assert second.host != first.host
     assert (
-        do.SendStop(first.host, on.LaunchId(OWN_LIFE, first.number)) in effects
+        effects.SendStop(first.host, events.LaunchId(OWN_LIFE, first.number)) in emitted
     )  # called off as it is given up
-    d.step(1.6, on.Left(second.host, 1, (second.number,)))
-    late = d.host_reply(on.Accepted, first, 1.7)
+    d.step(1.6, events.LaunchesSent(second.host, 1, (second.number,)))
+    late = d.host_reply(events.Accepted, first, 1.7)
     assert d.verdicts(late) == []
-    assert do.SendStop(first.host, on.LaunchId(OWN_LIFE, first.number)) in late
-    assert d.verdicts(d.host_reply(on.Accepted, second, 1.8)) == ["placed"]
+    assert effects.SendStop(first.host, events.LaunchId(OWN_LIFE, first.number)) in late
+    assert d.verdicts(d.host_reply(events.Accepted, second, 1.8)) == ["placed"]
 
 
 def test_a_late_yes_of_an_irreversible_job_is_left_to_run_and_counted_on_its_host():
@@ -47,8 +47,8 @@
     d = EngineDriver()
     sent = d.launch(1.0, "feed")
     assert d.verdicts(d.advance(7.5)) == ["written off"]
-    late = d.host_reply(on.Accepted, sent, 7.6)
-    assert d.verdicts(late) == [] and not d.of_type(do.SendStop, late)
+    late = d.host_reply(events.Accepted, sent, 7.6)
+    assert d.verdicts(late) == [] and not d.of_type(effects.SendStop, late)
     assert sent.job.id in d.engine.module.tracked_jobs
 
 
@@ -56,36 +56,36 @@
     d = EngineDriver()
     sent = d.launch(1.0)
     other = "b" if sent.host == "a" else "a"
-    wrong_host = d.step(1.1, on.Accepted(other, on.LaunchId(OWN_LIFE, sent.number)))
+    wrong_host = d.step(1.1, events.Accepted(other, events.LaunchId(OWN_LIFE, sent.number)))
     assert d.verdicts(wrong_host) == []
     d.step(
         1.1,
-        on.Refused(sent.host, on.LaunchId(OWN_LIFE, 99), Reason.CORES),
-        on.Started("nowhere", on.LaunchId(1, 1)),
+        events.Refused(sent.host, events.LaunchId(OWN_LIFE, 99), Reason.CORES),
+        events.Started("nowhere", events.LaunchId(1, 1)),
     )
     assert d.engine.counts["for an unknown launch"] == 3
-    assert d.verdicts(d.host_reply(on.Accepted, sent, 1.2)) == ["placed"]
+    assert d.verdicts(d.host_reply(events.Accepted, sent, 1.2)) == ["placed"]
 
 
 def test_a_refusal_after_the_yes_is_not_believed():
     d = EngineDriver()
     sent = d.launch(1.0)
-    d.host_reply(on.Accepted, sent, 1.1)
-    assert not d.of_type(do.SendLaunch, d.host_reply(on.Refused, sent, 1.2, Reason.CORES))
+    d.host_reply(events.Accepted, sent, 1.1)
+    assert not d.of_type(effects.SendLaunch, d.host_reply(events.Refused, sent, 1.2, Reason.CORES))
     assert sent.job.id in d.engine.by_job
 
 
 def test_a_frame_that_never_left_did_not_run():
     d = EngineDriver()
     sent = d.launch(1.0, "feed", leave=False)
-    again = d.of_type(do.SendLaunch, d.link_down(sent.host, 1.1, unsent=(sent.number,)))
+    again = d.of_type(effects.SendLaunch, d.link_down(sent.host, 1.1, unsent=(sent.number,)))
     assert [launch.host != sent.host for launch in again] == [True]  # irreversible, and yet launched again
 
 
 def test_a_redoable_job_is_launched_again_as_its_link_breaks():
     d = EngineDriver()
     sent = d.launch(1.0)
-    again = d.of_type(do.SendLaunch, d.link_down(sent.host, 1.1))
+    again = d.of_type(effects.SendLaunch, d.link_down(sent.host, 1.1))
     assert again and again[0].host != sent.host
 
 
@@ -112,16 +112,16 @@
     # guards against a launch written to a socket buffer as the link breaks: nobody knows, so nothing is sent
     d = EngineDriver()
     sent = d.launch(1.0, "feed")
-    assert not d.of_type(do.SendLaunch, d.link_down(sent.host, 1.1))
-    assert not d.of_type(do.Answer, d.advance(2.0))
+    assert not d.of_type(effects.SendLaunch, d.link_down(sent.host, 1.1))
+    assert not d.of_type(effects.Answer, d.advance(2.0))
 
 
 def test_the_same_boot_that_does_not_hold_a_launch_proves_that_it_never_ran():
     d = EngineDriver()
     sent = d.launch(1.0, "feed")
     d.link_down(sent.host, 1.1)
-    effects = d.link_up(sent.host, 1, 1.3)
-    assert d.of_type(do.SendLaunch, effects)
+    emitted = d.link_up(sent.host, 1, 1.3)
+    assert d.of_type(effects.SendLaunch, emitted)
     assert d.engine.counts["proven not run"] == 1
 
 
@@ -131,9 +131,9 @@
     d = EngineDriver()
     sent = d.launch(1.0, "feed")
     d.link_down(sent.host, 1.1)
-    effects = d.link_up(sent.host, boot, 1.3, forgot=forgot, age=0.1)
-    assert d.verdicts(effects) == ["written off"]
-    assert not d.of_type(do.SendLaunch, effects)
+    emitted = d.link_up(sent.host, boot, 1.3, forgot=forgot, age=0.1)
+    assert d.verdicts(emitted) == ["written off"]
+    assert not d.of_type(effects.SendLaunch, emitted)
 
 
 def test_a_launch_that_the_host_still_holds_counts_as_its_yes():
@@ -149,33 +149,35 @@
     d.link_down("a", 0.5)
     d.link_down("b", 0.5)
     sent = d.launch(1.0, "feed", leave=False)
-    assert not d.of_type(do.SendLaunch, d.link_up(sent.host, 1, 1.1))
-    assert d.engine.launches[on.LaunchId(OWN_LIFE, sent.number)].job is sent.job
+    assert not d.of_type(effects.SendLaunch, d.link_up(sent.host, 1, 1.1))
+    assert d.engine.launches[events.LaunchId(OWN_LIFE, sent.number)].job is sent.job
 
 
 def test_jobs_of_an_earlier_life_are_found_and_their_ends_seen():
     d = EngineDriver()
     job = api.Job("c.2.9", "web", "", "s", 1.0, 1.0, 0.0)
-    old, over = on.LaunchId(2, 9), on.LaunchId(2, 8)
-    effects = d.link_up(
+    old, over = events.LaunchId(2, 9), events.LaunchId(2, 8)
+    emitted = d.link_up(
         "a",
         1,
         1.0,
         [
-            on.Held(old, job, on.Phase.RUNNING),
-            on.Held(over, api.Job("c.2.8", "web", "", "s", 1.0, 1.0, 0.0), on.Phase.OVER),
+            events.HeldLaunch(old, job, events.Phase.RUNNING),
+            events.HeldLaunch(over, api.Job("c.2.8", "web", "", "s", 1.0, 1.0, 0.0), events.Phase.OVER),
         ],
     )
-    assert do.SendEndSeen("a", over) in effects
+    assert effects.SendEndSeen("a", over) in emitted
     assert "c.2.9" in d.engine.module.tracked_jobs
-    assert d.of_type(do.SendEndSeen, d.step(2.0, on.Over("a", old, Result.DONE, Reason.UNTOLD)))
+    assert d.of_type(
+        effects.SendEndSeen, d.step(2.0, events.LaunchEnded("a", old, Result.DONE, Reason.UNTOLD))
+    )
     assert "c.2.9" not in d.engine.module.tracked_jobs
 
 
 def test_a_job_that_is_held_is_lost_with_its_boot():
     d = EngineDriver()
     sent = d.launch(1.0)
-    d.host_reply(on.Accepted, sent, 1.1)
+    d.host_reply(events.Accepted, sent, 1.1)
     d.link_down(sent.host, 2.0)
     assert sent.job.id in d.engine.module.tracked_jobs  # it runs on without the link
     d.link_up(sent.host, 2, 3.0, age=0.5)
@@ -187,7 +189,7 @@
     d = EngineDriver("a")
     d.link_down("a", 1.0)
     d.link_up("a", 2, 4.0, age=0.5)
-    sent = [d.of_type(do.SendLaunch, d.submit(5.0, key=f"k{i}")) for i in range(5)]
+    sent = [d.of_type(effects.SendLaunch, d.submit(5.0, key=f"k{i}")) for i in range(5)]
     assert 0 < sum(map(len, sent)) < 4
 
 
@@ -195,10 +197,10 @@
     # guards against a stop of five seconds: answers lie unread beside time-outs that are long due
     d = EngineDriver()
     sent = d.launch(1.0, "feed")
-    effects = d.step_without_timers(6.99)  # woken late: the time-out is due, the yes not read yet
-    assert not d.of_type(do.Answer, effects)
-    assert [note.event for note in d.of_type(do.Note, effects)] == ["stood still"]
-    assert d.verdicts(d.host_reply(on.Accepted, sent, 7.0)) == ["placed"]
+    emitted = d.step_without_timers(6.99)  # woken late: the time-out is due, the yes not read yet
+    assert not d.of_type(effects.Answer, emitted)
+    assert [note.event for note in d.of_type(effects.LogMessage, emitted)] == ["stood still"]
+    assert d.verdicts(d.host_reply(events.Accepted, sent, 7.0)) == ["placed"]
 
 
 def test_a_controller_that_stood_still_answers_all_the_same():
@@ -212,11 +214,14 @@
 def test_a_client_that_leaves_takes_its_jobs_back_while_a_launch_is_out():
     d = EngineDriver()
     sent = d.launch(1.0)
-    effects = d.step(1.1, on.ClientLeft(1))
-    assert do.SendStop(sent.host, on.LaunchId(OWN_LIFE, sent.number)) in effects
-    late = d.host_reply(on.Accepted, sent, 1.2)
-    assert not d.of_type(do.Answer, late) and d.of_type(do.SendStop, late)
-    d.step(1.3, on.Over(sent.host, on.LaunchId(OWN_LIFE, sent.number), Result.STOPPED, Reason.UNTOLD))
+    emitted = d.step(1.1, events.ClientDisconnected(1))
+    assert effects.SendStop(sent.host, events.LaunchId(OWN_LIFE, sent.number)) in emitted
+    late = d.host_reply(events.Accepted, sent, 1.2)
+    assert not d.of_type(effects.Answer, late) and d.of_type(effects.SendStop, late)
+    d.step(
+        1.3,
+        events.LaunchEnded(sent.host, events.LaunchId(OWN_LIFE, sent.number), Result.STOPPED, Reason.UNTOLD),
+    )
     assert not d.engine.launches and not d.engine.module.tracked_jobs
 
 
@@ -224,18 +229,18 @@
     # guards against an offer that leaves after it was given up
     d = EngineDriver()
     sent = d.launch(1.0, leave=False)
-    effects = d.advance(1.52)
-    assert do.Unsend(sent.host, sent.number) in effects
-    assert d.of_type(do.SendLaunch, d.step(1.53, on.Unsent(sent.host, (sent.number,))))
+    emitted = d.advance(1.52)
+    assert effects.WithholdLaunch(sent.host, sent.number) in emitted
+    assert d.of_type(effects.SendLaunch, d.step(1.53, events.LaunchesUnsent(sent.host, (sent.number,))))
 
 
 def test_over_the_bound_jobs_are_turned_away_before_they_are_taken():
     d = EngineDriver()
     d.list_hosts("ab", 0.1, mode=api.Mode.DRAINING)  # all wait
-    effects = [d.submit(1.0, key=f"k{i}") for i in range(6)]
-    turned = d.of_type(do.TurnAway, effects[5])
-    assert len(turned) == 1 and turned[0].retry_after > 0 and not d.of_type(do.Take, effects[5])
-    assert all(d.of_type(do.Take, some) for some in effects[:5])
+    emitted = [d.submit(1.0, key=f"k{i}") for i in range(6)]
+    turned = d.of_type(effects.DeclineJob, emitted[5])
+    assert len(turned) == 1 and turned[0].retry_after > 0 and not d.of_type(effects.AcceptJob, emitted[5])
+    assert all(d.of_type(effects.AcceptJob, some) for some in emitted[:5])
 
 
 @pytest.mark.parametrize(
@@ -247,49 +252,51 @@
     fields = dict(
         client=1, key="k", offering="web", customer="", service="s", cores=1.0, memory=1.0, wait=0.0
     )
-    effects = d.step(1.0, on.Submitted(**{**fields, field: value}))
-    assert [type(effect) for effect in effects] == [do.TurnAway]
+    emitted = d.step(1.0, events.Submitted(**{**fields, field: value}))
+    assert [type(effect) for effect in emitted] == [effects.DeclineJob]
 
 
 def test_a_key_that_waits_is_not_taken_twice():
     d = EngineDriver()
     d.launch(1.0, key="same")
-    assert d.of_type(do.TurnAway, d.submit(1.1, key="same"))
+    assert d.of_type(effects.DeclineJob, d.submit(1.1, key="same"))
 
 
 def test_the_engine_ends_rather_than_break_its_promise():
     d = EngineDriver()
     sent = d.launch(1.0)
-    with pytest.raises(BrokenPromise):
+    with pytest.raises(InvariantError):
         d.engine.launch(sent.job.id, sent.host, 1.0)
-    d.host_reply(on.Accepted, sent, 1.1)
-    with pytest.raises(BrokenPromise):
-        d.engine.answer(sent.job.id, do.Verdict.REJECTED)
+    d.host_reply(events.Accepted, sent, 1.1)
+    with pytest.raises(InvariantError):
+        d.engine.answer(sent.job.id, effects.Verdict.REJECTED)
 
 
 def test_after_a_start_hosts_are_asked_at_a_pace():
     d = EngineDriver("")
-    asked = d.of_type(do.OpenLink, d.list_hosts([f"h{i}" for i in range(60)], 1.0))
+    asked = d.of_type(effects.OpenLink, d.list_hosts([f"h{i}" for i in range(60)], 1.0))
     assert len(asked) <= 20
-    assert len(asked) + len(d.of_type(do.OpenLink, d.advance(4.2))) == 60
+    assert len(asked) + len(d.of_type(effects.OpenLink, d.advance(4.2))) == 60
 
 
 def test_a_gone_host_is_dropped_once_nothing_of_ours_is_there():
     d = EngineDriver()
     sent = d.launch(1.0)
-    d.host_reply(on.Accepted, sent, 1.1)
-    assert not d.of_type(do.DropHost, d.list_hosts([h for h in "ab" if h != sent.host], 2.0))
-    effects = d.link_down(sent.host, 3.0)
-    assert do.DropHost(sent.host) in effects and not d.engine.launches
+    d.host_reply(events.Accepted, sent, 1.1)
+    assert not d.of_type(effects.RemoveHost, d.list_hosts([h for h in "ab" if h != sent.host], 2.0))
+    emitted = d.link_down(sent.host, 3.0)
+    assert effects.RemoveHost(sent.host) in emitted and not d.engine.launches
 
 
 def test_a_fenced_life_halts():
     d = EngineDriver()
-    assert d.of_type(do.Halt, d.step(1.0, on.Fenced("a", "life 9 is known")))
+    assert d.of_type(effects.Halt, d.step(1.0, events.Fenced("a", "life 9 is known")))
 
 
 def erred(d, sent, now):
-    return d.of_type(do.SendLaunch, d.host_reply(on.Over, sent, now, Result.ERROR, Reason.UNTOLD))
+    return d.of_type(
+        effects.SendLaunch, d.host_reply(events.LaunchEnded, sent, now, Result.ERROR, Reason.UNTOLD)
+    )
 
 
 def test_a_job_that_errs_on_two_hosts_is_at_fault_itself():
@@ -298,9 +305,9 @@
     first = d.launch(1.0)
     (second,) = erred(d, first, 1.1)
     assert second.host != first.host
-    d.step(1.1, on.Left(second.host, 1, (second.number,)))
-    effects = d.host_reply(on.Over, second, 1.2, Result.ERROR, Reason.UNTOLD)
-    assert d.verdicts(effects) == ["rejected"] and not d.of_type(do.SendLaunch, effects)
+    d.step(1.1, events.LaunchesSent(second.host, 1, (second.number,)))
+    emitted = d.host_reply(events.LaunchEnded, second, 1.2, Result.ERROR, Reason.UNTOLD)
+    assert d.verdicts(emitted) == ["rejected"] and not d.of_type(effects.SendLaunch, emitted)
     assert not any(host.ejections for host in d.engine.module.hosts.values())
 
 
@@ -308,9 +315,9 @@
     d = EngineDriver("ab")
     first = d.launch(1.0)
     (second,) = erred(d, first, 1.1)
-    d.step(1.1, on.Left(second.host, 1, (second.number,)))
+    d.step(1.1, events.LaunchesSent(second.host, 1, (second.number,)))
     assert not d.engine.module.hosts[first.host].ejections
-    d.host_reply(on.Accepted, second, 1.2)
+    d.host_reply(events.Accepted, second, 1.2)
     assert d.engine.module.hosts[first.host].ejections
     assert {d.launch(1.3, key=f"k{number}").host for number in range(3)} == {second.host}
 
@@ -318,5 +325,7 @@
 def test_an_irreversible_job_marks_its_host_at_once():
     d = EngineDriver("ab")
     sent = d.launch(1.0, "feed")
-    assert d.verdicts(d.host_reply(on.Over, sent, 1.1, Result.ERROR, Reason.UNTOLD)) == ["written off"]
+    assert d.verdicts(d.host_reply(events.LaunchEnded, sent, 1.1, Result.ERROR, Reason.UNTOLD)) == [
+        "written off"
+    ]
     assert d.engine.module.hosts[sent.host].ejections
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -8,8 +8,8 @@
 from linedeal import interface as api
 from linedeal import policy
 from linedeal.controller import translate
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
+from linedeal.engine import effects
+from linedeal.engine import events
 from linedeal.engine import sessions, timers
 from linedeal.engine.control import OrderKind
 from linedeal.engine.recovery import OldLaunch, OpenJob
@@ -29,9 +29,9 @@
 @pytest.mark.parametrize("field", ["offering", "customer", "service"])
 def test_a_name_without_end_is_turned_away_in_few_bytes(field):
     d = CheckedEngine()
-    turned = d.of_type(do.TurnAway, d.submit_job(1.0, **{field: "\0" * 400_000}))
+    turned = d.of_type(effects.DeclineJob, d.submit_job(1.0, **{field: "\0" * 400_000}))
     assert len(turned) == 1 and len(encode(translate.to_client(turned[0]))) < 1000
-    assert d.of_type(do.SendLaunch, d.submit_job(1.1, key="other"))
+    assert d.of_type(effects.SendLaunch, d.submit_job(1.1, key="other"))
     d.check_rules(10)
 
 
@@ -41,31 +41,36 @@
     d.engine.cluster = replace(d.engine.cluster, limits=replace(d.engine.cluster.limits, held=40))
     crowd = [d.submit_job(1.0, key=f"k{i}", customer="crowd") for i in range(60)]
     others = [d.submit_job(1.1, key=f"o{i}", customer=f"school{i}", client=2) for i in range(4)]
-    assert sum(len(d.of_type(do.Take, effects)) for effects in crowd) == 35
-    assert all(d.of_type(do.Take, effects) for effects in others)
-    assert d.of_type(do.TurnAway, crowd[-1])[0].retry_after > 0
+    assert sum(len(d.of_type(effects.AcceptJob, emitted)) for emitted in crowd) == 35
+    assert all(d.of_type(effects.AcceptJob, emitted) for emitted in others)
+    assert d.of_type(effects.DeclineJob, crowd[-1])[0].retry_after > 0
     assert set(d.check_rules(10).values()) == {"rejected"}
 
 
 def test_one_customers_ended_jobs_do_not_push_out_anothers_answer(monkeypatch):
     # a kept answer that goes unseen is asked for again, and an irreversible job would run twice
-    monkeypatch.setattr(sessions, "KEPT_MOST", 10)
+    monkeypatch.setattr(sessions, "MAX_ENDED_JOBS", 10)
     d = CheckedEngine()
-    press = d.of_type(do.SendLaunch, d.submit_job(1.0, "feed", "press", customer="paper", session="p"))[0]
+    press = d.of_type(effects.SendLaunch, d.submit_job(1.0, "feed", "press", customer="paper", session="p"))[
+        0
+    ]
     d.accept(1.1, press)
     for i in range(40):
         sent = d.of_type(
-            do.SendLaunch, d.submit_job(1.2 + i / 100, key=f"k{i}", customer="crowd", session="c")
+            effects.SendLaunch, d.submit_job(1.2 + i / 100, key=f"k{i}", customer="crowd", session="c")
         )[0]
         d.accept(1.2 + i / 100, sent)
         d.step(
-            1.2 + i / 100, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.DONE, api.Reason.UNTOLD)
+            1.2 + i / 100,
+            events.LaunchEnded(
+                sent.host, events.LaunchId(3, sent.number), api.Result.DONE, api.Reason.UNTOLD
+            ),
         )
     assert len(d.engine.sessions.ledger.entries) <= 12
-    effects = d.submit_job(2.0, "feed", "press", customer="paper", session="p", client=9)
-    assert [a.verdict for a in d.of_type(do.Answer, effects)] == [do.Verdict.PLACED] and not d.of_type(
-        do.SendLaunch, effects
-    )
+    emitted = d.submit_job(2.0, "feed", "press", customer="paper", session="p", client=9)
+    assert [a.verdict for a in d.of_type(effects.Answer, emitted)] == [
+        effects.Verdict.PLACED
+    ] and not d.of_type(effects.SendLaunch, emitted)
 
 
 def test_thousands_of_shapes_that_wait_cost_a_bounded_number_of_tries_a_turn(monkeypatch):
@@ -81,7 +86,7 @@
     for _ in range(30):
         d.advance(d.now + 0.01)
     assert len(tries) >= 1500
-    sent = d.of_type(do.SendLaunch, d.list_hosts("ab", 0.8, free_cores=9.0, free_memory=18.0))
+    sent = d.of_type(effects.SendLaunch, d.list_hosts("ab", 0.8, free_cores=9.0, free_memory=18.0))
     assert sent and sent[0].job.id == "c.3.1"  # the first of the order is not passed over
     d.check_rules(7)
 
@@ -106,9 +111,9 @@
     d = CheckedEngine()
     for i in range(6000):
         d.submit_job(1.0 + i / 1e6, service=f"s{i}", key=f"k{i}", cores=0.001, memory=0.001)
-        d.step(1.0 + i / 1e6, on.TakenBack(1, f"k{i}"))
+        d.step(1.0 + i / 1e6, events.JobWithdrawn(1, f"k{i}"))
     for launch in list(d.engine.launches.values()):
-        d.step(2.0, on.Refused(launch.host, launch.id, api.Reason.UNTOLD, ""))
+        d.step(2.0, events.Refused(launch.host, launch.id, api.Reason.UNTOLD, ""))
     d.submit_job(2.1, service="last", key="last")
     assert len(d.engine.module.services) <= 4200
 
@@ -116,27 +121,32 @@
 def test_a_service_in_use_is_not_forgotten_so_its_spread_is_kept(monkeypatch):
     monkeypatch.setattr(policy, "MAX_SERVICES", 5)
     d = CheckedEngine("a")
-    d.accept(1.0, d.of_type(do.SendLaunch, d.submit_job(1.0, "pair", service="old"))[0])
+    d.accept(1.0, d.of_type(effects.SendLaunch, d.submit_job(1.0, "pair", service="old"))[0])
     for i in range(20):
         d.accept(
-            1.1, d.of_type(do.SendLaunch, d.submit_job(1.1, service=f"s{i}", key=f"k{i}", cores=0.01))[0]
+            1.1, d.of_type(effects.SendLaunch, d.submit_job(1.1, service=f"s{i}", key=f"k{i}", cores=0.01))[0]
         )
-    assert not d.of_type(do.SendLaunch, d.submit_job(1.2, "pair", service="old", key="again"))  # one a host
-    assert not d.of_type(do.SendLaunch, d.advance(6.0))
+    assert not d.of_type(
+        effects.SendLaunch, d.submit_job(1.2, "pair", service="old", key="again")
+    )  # one a host
+    assert not d.of_type(effects.SendLaunch, d.advance(6.0))
 
 
 def test_one_customers_failing_jobs_do_not_take_hosts_from_the_others():
     d = CheckedEngine("abcd")
     for i in range(3):
         sent = d.of_type(
-            do.SendLaunch, d.submit_job(1.0 + i / 10, key=f"bad{i}", customer="bad", service="bad")
+            effects.SendLaunch, d.submit_job(1.0 + i / 10, key=f"bad{i}", customer="bad", service="bad")
         )[0]
         d.accept(1.0 + i / 10, sent)
         d.step(
-            1.0 + i / 10, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.ERROR, api.Reason.UNTOLD)
+            1.0 + i / 10,
+            events.LaunchEnded(
+                sent.host, events.LaunchId(3, sent.number), api.Result.ERROR, api.Reason.UNTOLD
+            ),
         )
     sent = d.of_type(
-        do.SendLaunch,
+        effects.SendLaunch,
         [
             e
             for i in range(16)
@@ -154,13 +164,14 @@
     d = CheckedEngine("ab")
     for i in range(120):
         for launch in d.of_type(
-            do.SendLaunch, d.submit_job(1.0, key=f"t{i}", service="tiny", cores=1e-9, memory=1e-9)
+            effects.SendLaunch, d.submit_job(1.0, key=f"t{i}", service="tiny", cores=1e-9, memory=1e-9)
         ):
             d.accept(1.0, launch)
     assert sorted(len(host.jobs) for host in d.engine.module.hosts.values()) == [50, 50]
     done = next(iter(d.engine.launches.values()))  # one ends: another may go there
     assert d.of_type(
-        do.SendLaunch, d.step(1.1, on.Over(done.host, done.id, api.Result.DONE, api.Reason.UNTOLD))
+        effects.SendLaunch,
+        d.step(1.1, events.LaunchEnded(done.host, done.id, api.Result.DONE, api.Reason.UNTOLD)),
     )
     d.check_rules(10)
 
@@ -169,10 +180,13 @@
     monkeypatch.setattr(policy, "MAX_ENTRIES_PER_HOST", 20)
     d = CheckedEngine("ab")
     for i in range(200):
-        for sent in d.of_type(do.SendLaunch, d.submit_job(1.0 + i, key=f"b{i}", customer=f"c{i}")):
+        for sent in d.of_type(effects.SendLaunch, d.submit_job(1.0 + i, key=f"b{i}", customer=f"c{i}")):
             d.accept(1.0 + i, sent)
             d.step(
-                1.0 + i, on.Over(sent.host, on.LaunchId(3, sent.number), api.Result.ERROR, api.Reason.UNTOLD)
+                1.0 + i,
+                events.LaunchEnded(
+                    sent.host, events.LaunchId(3, sent.number), api.Result.ERROR, api.Reason.UNTOLD
+                ),
             )
     assert max(len(host.ejections) for host in d.engine.module.hosts.values()) <= 21
     d.check_rules(300)
@@ -183,9 +197,9 @@
     d = CheckedEngine()
     for i in range(200):
         d.submit_job(1.0, key=f"k{i}", session="s", hold=i % 2 == 0, start_in=1e6 * (i % 2))
-        d.step(1.0, on.TakenBack(1, f"k{i}", "s"))
-    assert len(d.engine.timers.heap) <= 30 and not d.engine.taken
-    assert d.of_type(do.TurnAway, d.submit_job(1.1, session="s", start_in=1e9))  # decades ahead
+        d.step(1.0, events.JobWithdrawn(1, f"k{i}", "s"))
+    assert len(d.engine.timers.heap) <= 30 and not d.engine.unanswered
+    assert d.of_type(effects.DeclineJob, d.submit_job(1.1, session="s", start_in=1e9))  # decades ahead
 
 
 def test_an_order_repeated_without_end_leaves_no_timers_behind(monkeypatch):
@@ -193,46 +207,50 @@
     d = CheckedEngine()
     d.submit_job(1.0, session="s", hold=True)
     for i in range(300):
-        d.step(1.0 + i * 0.1, on.Ordered(1, "s", "k", OrderKind.RELEASE if i % 2 == 0 else OrderKind.HOLD))
+        d.step(
+            1.0 + i * 0.1, events.Ordered(1, "s", "k", OrderKind.RELEASE if i % 2 == 0 else OrderKind.HOLD)
+        )
         for launch in list(d.engine.launches.values()):
-            d.step(d.now, on.Refused(launch.host, launch.id, api.Reason.UNTOLD, ""))
+            d.step(d.now, events.Refused(launch.host, launch.id, api.Reason.UNTOLD, ""))
         d.list_hosts("ab", d.now, free_cores=-9.0)  # so that it is never placed, and can be held again
     d.advance(d.now + 70.0)  # until launches and strays are forgotten
     d.submit_job(d.now, session="s", key="last", hold=True)
-    d.step(d.now, on.TakenBack(1, "last", "s"))
+    d.step(d.now, events.JobWithdrawn(1, "last", "s"))
     assert sum(kind == "held too long" for _, _, kind, _ in d.engine.timers.heap) <= 12
 
 
 # hosts: figures that are none
 
 SAID = {
-    "use": lambda d, sent, x: [on.Used(sent.host, on.LaunchId(3, sent.number), x, x)],
-    "service": lambda d, sent, x: [on.Served(sent.host, on.LaunchId(3, sent.number), x, x)],
+    "use": lambda d, sent, x: [events.UsageReported(sent.host, events.LaunchId(3, sent.number), x, x)],
+    "service": lambda d, sent, x: [events.ServiceReported(sent.host, events.LaunchId(3, sent.number), x, x)],
     "list": lambda d, sent, x: [
-        on.ListHeard(
+        events.HostListReceived(
             (replace(d.engine.fleet.hosts[sent.host].listed, free_cores=x, free_memory=x),), False, 2
         )
     ],
     "probe": lambda d, sent, x: [
-        on.Reported(sent.host, number, (("idle_cores", x), ("idle_memory", x)))
+        events.ProbeReported(sent.host, number, (("idle_cores", x), ("idle_memory", x)))
         for number, host in d.engine.probes.items()
         if host == sent.host
     ],
     "held": lambda d, sent, x: [
-        on.LinkUp(
+        events.LinkUp(
             sent.host,
             9,
             1,
             50.0,
             (
-                on.Held(on.LaunchId(3, sent.number), sent.job, on.Phase.RUNNING),
-                on.Held(on.LaunchId(1, 5), replace(JOB, cores=x, memory=x), on.Phase.RUNNING),
+                events.HeldLaunch(events.LaunchId(3, sent.number), sent.job, events.Phase.RUNNING),
+                events.HeldLaunch(
+                    events.LaunchId(1, 5), replace(JOB, cores=x, memory=x), events.Phase.RUNNING
+                ),
             ),
             False,
         )
     ],
     "age": lambda d, sent, x: [
-        on.ListHeard((replace(d.engine.fleet.hosts[sent.host].listed, boot=2, age=x),), False, 2)
+        events.HostListReceived((replace(d.engine.fleet.hosts[sent.host].listed, boot=2, age=x),), False, 2)
     ],
 }
 
@@ -241,12 +259,12 @@
 @pytest.mark.parametrize("what", SAID)
 def test_a_hosts_figure_that_is_none_harms_no_other_host(what, figure):
     d = CheckedEngine("abc")
-    sent = d.of_type(do.SendLaunch, d.submit_job(1.0))[0]
+    sent = d.of_type(effects.SendLaunch, d.submit_job(1.0))[0]
     d.accept(1.1, sent)
     d.step(1.2, *SAID[what](d, sent, figure))
     d.advance(1.9)
     more = [
-        d.of_type(do.SendLaunch, d.submit_job(2.0, key=f"k{i}", service=f"new{i}", cores=0.5))
+        d.of_type(effects.SendLaunch, d.submit_job(2.0, key=f"k{i}", service=f"new{i}", cores=0.5))
         for i in range(12)
     ]
     assert all(more), f"{sum(map(bool, more))} of 12 were sent"
@@ -262,7 +280,7 @@
     d = CheckedEngine("ab")
     d.step(
         1.0,
-        on.ListHeard(
+        events.HostListReceived(
             (
                 replace(d.engine.fleet.hosts["a"].listed, free_cores=-1e300, free_memory=-1e300),
                 replace(d.engine.fleet.hosts["b"].listed, id="c", free_cores=None, free_memory=None),
@@ -280,13 +298,15 @@
 
 def test_a_host_that_no_list_has_told_of_counts_as_the_others_do():
     d = CheckedEngine("")
-    listed = on.ListedHost("a", ("x",), "std", "z", 0, Mode.SERVING, 1, 100.0, -9.5, -9.5)
+    listed = events.ListedHost("a", ("x",), "std", "z", 0, Mode.SERVING, 1, 100.0, -9.5, -9.5)
     d.step(
         1.0,
-        on.ListHeard((listed, replace(listed, id="b"), replace(listed, id="c", free_cores=None)), True, 1),
+        events.HostListReceived(
+            (listed, replace(listed, id="b"), replace(listed, id="c", free_cores=None)), True, 1
+        ),
     )
-    assert not d.of_type(do.SendLaunch, d.submit_job(1.5))
-    d.step(2.0, on.ListHeard((replace(listed, free_cores=5.0, free_memory=15.0),), False, 2))
+    assert not d.of_type(effects.SendLaunch, d.submit_job(1.5))
+    d.step(2.0, events.HostListReceived((replace(listed, free_cores=5.0, free_memory=15.0),), False, 2))
     d.check_rules(9)
 
 
@@ -294,20 +314,20 @@
     d = CheckedEngine()
     for i in range(30):
         sent = d.of_type(
-            do.SendLaunch,
+            effects.SendLaunch,
             d.submit_job(1.0, key=f"t{i}", customer="tiny", service="tiny", cores=1e-9, memory=1e-9),
         )[0]
         d.accept(1.0, sent)
         for _ in range(5):
-            d.step(1.0, on.Used(sent.host, on.LaunchId(3, sent.number), 0.01, 0.01))
-    assert d.of_type(do.SendLaunch, d.submit_job(1.1, key="good", service="good", cores=2.0, memory=2.0))
+            d.step(1.0, events.UsageReported(sent.host, events.LaunchId(3, sent.number), 0.01, 0.01))
+    assert d.of_type(effects.SendLaunch, d.submit_job(1.1, key="good", service="good", cores=2.0, memory=2.0))
     d.check_rules(20)
 
 
 def test_a_host_of_a_kind_that_no_setting_names_is_sent_nothing():
     d = CheckedEngine("")
     d.list_hosts("a", 1.0, kind="unheard of")
-    assert not d.of_type(do.SendLaunch, d.submit_job(1.1, cores=0.1, memory=0.1))
+    assert not d.of_type(effects.SendLaunch, d.submit_job(1.1, cores=0.1, memory=0.1))
     d.list_hosts("ab", 1.2)
     assert set(d.check_rules(9, answered=False).values()) <= {"placed", "rejected"}
 
@@ -323,25 +343,28 @@
         d = CheckedEngine()
         d.engine.recover((job,), ())
         if order:
-            d.step(1.0, on.Ordered(1, "s", "k", OrderKind.RELEASE))
+            d.step(1.0, events.Ordered(1, "s", "k", OrderKind.RELEASE))
         d.advance(8.0)
         assert d.check_rules(9.0) == {"c.1.1": "rejected"}
-        assert not d.of_type(do.SendLaunch, [effect for _, effect in d.log])
+        assert not d.of_type(effects.SendLaunch, [effect for _, effect in d.log])
 
 
 def test_what_runs_of_an_offering_that_is_gone_is_left_alone_and_its_end_told():
-    from linedeal.engine.recovery import KeptAnswer
+    from linedeal.engine.recovery import StoredAnswer
 
     d = CheckedEngine()
     ran = replace(JOB, offering="gone")
-    d.engine.recover((), (KeptAnswer("s", "k", ran, "PLACED", "a", on.LaunchId(1, 4), follow=True),))
-    d.step(0.5, on.StandingAsked(1, "s", ""))
-    effects = d.step(
-        1.0, on.LinkUp("a", 5, 1, 50.0, (on.Held(on.LaunchId(1, 4), ran, on.Phase.RUNNING),), False)
+    d.engine.recover((), (StoredAnswer("s", "k", ran, "PLACED", "a", events.LaunchId(1, 4), follow=True),))
+    d.step(0.5, events.StatusRequested(1, "s", ""))
+    emitted = d.step(
+        1.0,
+        events.LinkUp(
+            "a", 5, 1, 50.0, (events.HeldLaunch(events.LaunchId(1, 4), ran, events.Phase.RUNNING),), False
+        ),
     )
-    assert not d.of_type(do.SendStop, effects)
-    effects = d.step(2.0, on.Over("a", on.LaunchId(1, 4), api.Result.DONE, api.Reason.UNTOLD))
-    assert [told.stage.name for told in d.of_type(do.Standing, effects)] == ["DONE"]
+    assert not d.of_type(effects.SendStop, emitted)
+    emitted = d.step(2.0, events.LaunchEnded("a", events.LaunchId(1, 4), api.Result.DONE, api.Reason.UNTOLD))
+    assert [told.stage.name for told in d.of_type(effects.JobStatus, emitted)] == ["DONE"]
     d.check_rules(9.0)
 
 
@@ -365,15 +388,15 @@
                 "k",
                 JOB,
                 4.0,
-                (OldLaunch(on.LaunchId(1, 4), "a", launch_boot, False, 0.5),),
-                promise=promise,
+                (OldLaunch(events.LaunchId(1, 4), "a", launch_boot, False, 0.5),),
+                guarantee=promise,
             ),
         ),
         (),
     )
     d.link_up("a", 1, 0.1)
     d.advance(0.4)
-    sent = d.of_type(do.SendLaunch, [effect for _, effect in d.log])
+    sent = d.of_type(effects.SendLaunch, [effect for _, effect in d.log])
     assert bool(sent) is (verdict == "placed")
     if sent:
         d.accept(0.4, sent[0])
@@ -385,24 +408,25 @@
     journal = Journal(store)
     d = CheckedEngine()
     takes = d.of_type(
-        do.Take, d.submit_job(1.0, "feed", session="s") + d.submit_job(1.0, "mail", "m", session="s")
+        effects.AcceptJob,
+        d.submit_job(1.0, "feed", session="s") + d.submit_job(1.0, "mail", "m", session="s"),
     )
     journal.write(1.0, 1, takes)
     found = Journal(store).read(2.0, 60.0)
-    assert [job.promise for job in found.open] == ["IRREVERSIBLE", "LABELLED ZONE 4"]
+    assert [job.guarantee for job in found.open] == ["IRREVERSIBLE", "LABELLED ZONE 4"]
     store.close()
 
 
 def test_a_job_goes_on_though_the_host_of_its_risk_is_gone():
     d = CheckedEngine("a")
-    sent = d.of_type(do.SendLaunch, d.submit_job(1.0, session="s"))[0]
-    d.step(1.0, on.Left("a", 1, (sent.number,)))
+    sent = d.of_type(effects.SendLaunch, d.submit_job(1.0, session="s"))[0]
+    d.step(1.0, events.LaunchesSent("a", 1, (sent.number,)))
     d.list_hosts("ab", 1.1, mode=Mode.DRAINING)
     d.link_down("a", 1.2)  # it may have run there
-    d.step(1.3, on.Ordered(1, "s", "k", OrderKind.HOLD))
+    d.step(1.3, events.Ordered(1, "s", "k", OrderKind.HOLD))
     d.list_hosts("b", 70.0)  # a is gone for good
     d.link_up("b", 1, 70.0)
-    again = d.of_type(do.SendLaunch, d.step(71.0, on.Ordered(1, "s", "k", OrderKind.RELEASE)))
+    again = d.of_type(effects.SendLaunch, d.step(71.0, events.Ordered(1, "s", "k", OrderKind.RELEASE)))
     assert [launch.host for launch in again] == ["b"]
     d.accept(71.1, again[0])
     assert d.check_rules(90.0) == {sent.job.id: "placed"}
@@ -411,16 +435,18 @@
 def test_a_labelled_job_whose_first_host_is_gone_has_no_group_to_go_on_in():
     d = CheckedEngine("ab")
     mail = replace(JOB, offering="mail")
-    d.engine.recover((OpenJob("s", "k", mail, 5.0, (OldLaunch(on.LaunchId(1, 4), "a", 1, False, 0.5),)),), ())
+    d.engine.recover(
+        (OpenJob("s", "k", mail, 5.0, (OldLaunch(events.LaunchId(1, 4), "a", 1, False, 0.5),)),), ()
+    )
     d.link_up("a", 2, 0.1, age=1.0)  # another boot: it may have run
-    d.engine.pending.clear()  # as in the turn in which it goes back ...
+    d.engine.unresolved.clear()  # as in the turn in which it goes back ...
     d.engine.returning.clear()
     d.list_hosts("b", 0.2)  # ... and its host goes before it is there
-    d.engine.taken["c.1.1"].returning = True
-    d.engine.taken["c.1.1"].risk = ("a", 0.0)
+    d.engine.unanswered["c.1.1"].returning = True
+    d.engine.unanswered["c.1.1"].risk = ("a", 0.0)
     d.engine.returning.append("c.1.1")
     d.engine.timers.arm(0.3, "return", "")
-    assert not d.of_type(do.SendLaunch, d.advance(9.0))
+    assert not d.of_type(effects.SendLaunch, d.advance(9.0))
     assert d.check_rules(10.0) == {"c.1.1": "written off"}
 
 
@@ -429,14 +455,15 @@
     d.list_hosts("ab", 0.1, mode=Mode.DRAINING)
     for i in range(20):
         assert d.of_type(
-            do.Take, d.submit_job(1.0, key=f"k{i}", customer="crowd", session="c", work=b"x" * 60_000)
+            effects.AcceptJob,
+            d.submit_job(1.0, key=f"k{i}", customer="crowd", session="c", work=b"x" * 60_000),
         )
-    d.engine.room = 1_200_000, 1_300_000  # as the journal would say of that, bound included
+    d.engine.journal_usage = 1_200_000, 1_300_000  # as the journal would say of that, bound included
     assert d.of_type(
-        do.TurnAway, d.submit_job(1.1, key="more", customer="crowd", session="c", work=b"x" * 60_000)
+        effects.DeclineJob, d.submit_job(1.1, key="more", customer="crowd", session="c", work=b"x" * 60_000)
     )
-    assert d.of_type(do.Take, d.submit_job(1.1, key="school", customer="school", session="s"))
+    assert d.of_type(effects.AcceptJob, d.submit_job(1.1, key="school", customer="school", session="s"))
     for i in range(20):  # as its jobs go it may have more
-        d.step(1.2, on.TakenBack(1, f"k{i}", "c"))
-    assert d.of_type(do.Take, d.submit_job(1.3, key="more", customer="crowd", session="c"))
+        d.step(1.2, events.JobWithdrawn(1, f"k{i}", "c"))
+    assert d.of_type(effects.AcceptJob, d.submit_job(1.3, key="more", customer="crowd", session="c"))
     assert d.engine.sessions.bytes.of == {"school": sessions.RECORD, "crowd": sessions.RECORD}
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -14,8 +14,8 @@
 from linedeal.controller.hostlink import HostLink
 from linedeal.loop.inbox import Inbox
 from linedeal.controller.runtime import Halted, Runtime, Setup
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
+from linedeal.engine import effects
+from linedeal.engine import events
 from linedeal.net import Link, LinkLost, TcpNet
 from linedeal.processes import unwrap
 from linedeal.protocol import FrameReader, encode, frames, pb
@@ -336,7 +336,7 @@
         tasks.start_soon(client.submit, ASK)
         await cluster.until(lambda: server.model.queue)
         tasks.cancel_scope.cancel()
-    await cluster.until(lambda: not cluster.runtime.engine.taken)
+    await cluster.until(lambda: not cluster.runtime.engine.unanswered)
     await cluster.until(lambda: not server.model.copies and not cluster.runtime.engine.launches)
 
 
@@ -382,7 +382,7 @@
                 answers.append(await client.submit(ASK))
 
             tasks.start_soon(ask)
-            await cluster.until(lambda: cluster.runtime.engine.taken)
+            await cluster.until(lambda: cluster.runtime.engine.unanswered)
             cluster.runtime.leave()
             with pytest.raises(ClientLost, match="ends"):
                 async with cluster.client():
@@ -400,7 +400,7 @@
     async with cluster.client() as client, anyio.create_task_group() as tasks:
         for _ in range(5):
             tasks.start_soon(client.submit, ASK)
-        await cluster.until(lambda: len(cluster.runtime.engine.taken) == 5)
+        await cluster.until(lambda: len(cluster.runtime.engine.unanswered) == 5)
         with pytest.raises(TurnedAway) as caught:
             await client.submit(ASK)
         assert caught.value.retry_after > 0
@@ -438,14 +438,14 @@
 
 async def test_what_waits_for_a_host_that_drains_goes_back():
     # guards against a launch that leaves long after the drain was told, because its link was slow
-    listed = on.ListedHost("a", (), "std", "z", 0, api.Mode.SERVING, 1, 9.0, None, None)
+    listed = events.ListedHost("a", (), "std", "z", 0, api.Mode.SERVING, 1, 9.0, None, None)
     told = []
     link = HostLink(listed, "c", 1, None, parse_cluster(CLUSTER).limits, Inbox(told.append), None, None)
-    link.launch(do.SendLaunch("a", 7, api.Job("j", "web", "", "s", 1.0, 1.0, 9.0), 5.0, 1))
+    link.launch(effects.SendLaunch("a", 7, api.Job("j", "web", "", "s", 1.0, 1.0, 9.0), 5.0, 1))
     link.relist(listed)
     assert not told
     link.relist(replace(listed, mode=api.Mode.DRAINING))
-    assert told == [on.Unsent("a", (7,))] and not link.outbox
+    assert told == [events.LaunchesUnsent("a", (7,))] and not link.outbox
 
 
 async def test_an_address_that_another_host_has_is_not_sent_to(cluster):
@@ -472,7 +472,7 @@
     )
     await cluster.until(lambda: server.model.queue)
     await anyio.aclose_forcefully(stream)
-    await cluster.until(lambda: not cluster.runtime.engine.taken and not server.model.copies)
+    await cluster.until(lambda: not cluster.runtime.engine.unanswered and not server.model.copies)
 
 
 @pytest.mark.parametrize("when", ["before the yes", "after the answer"])
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -13,8 +13,8 @@
 
 from linedeal import interface as api
 from linedeal.engine import Engine
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
+from linedeal.engine import effects
+from linedeal.engine import events
 from linedeal.engine.control import OrderKind
 from linedeal.settings.cluster import parse_cluster
 from linedeal.state import Store
@@ -33,9 +33,9 @@
     def __init__(self):
         self.boot, self.link, self.up = 1, 0, False
         self.life = 0
-        self.held: dict[on.LaunchId, list] = {}  # job, phase
-        self.queue: list[on.LaunchId] = []  # received and not looked at
-        self.stops: list[on.LaunchId] = []
+        self.held: dict[events.LaunchId, list] = {}  # job, phase
+        self.queue: list[events.LaunchId] = []  # received and not looked at
+        self.stops: list[events.LaunchId] = []
         self.outbox: list[tuple] = []  # at the controller, until a link stands
 
 
@@ -69,9 +69,9 @@
         for host in self.hosts.values():
             host.up = False
         self.feed(
-            on.ListHeard(
+            events.HostListReceived(
                 tuple(
-                    on.ListedHost(
+                    events.ListedHost(
                         name, ("x",), "std", HOSTS[name], 0, api.Mode.SERVING, host.boot, 99.0, 10.0, 20.0
                     )
                     for name, host in self.hosts.items()
@@ -79,19 +79,19 @@
                 True,
                 1,
             ),
-            on.StandingAsked(1, "s", ""),
+            events.StatusRequested(1, "s", ""),
         )
 
-    def feed(self, *events):
+    def feed(self, *received):
         """One turn; False if the controller was killed in it."""
         if self.engine is None:
             return False
-        for event in events:
+        for event in received:
             self.engine.put(event)
-        effects = self.engine.turn(self.now)
-        keep = to_keep(effects)
+        emitted = self.engine.step(self.now)
+        keep = to_keep(emitted)
         units = [lambda: self.journal.write(self.now, self.life, keep)] if keep else []
-        units += [lambda effect=effect: self.carry(effect) for effect in effects]
+        units += [lambda effect=effect: self.carry(effect) for effect in emitted]
         for unit in units:
             if self.crash_in is not None:
                 if self.crash_in == 0:
@@ -110,27 +110,27 @@
 
     def carry(self, effect):
         match effect:
-            case do.SendLaunch(name, number, job):
-                host, launch = self.hosts[name], on.LaunchId(self.life, number)
+            case effects.SendLaunch(name, number, job):
+                host, launch = self.hosts[name], events.LaunchId(self.life, number)
                 if self.told.get(self.jobs.get(job.id)):
                     self.sent_after.append((job.id, self.told[self.jobs[job.id]]))
                 host.outbox.append((number, launch, job))
                 if host.up:
                     self.flush(name)
-            case do.Unsend(name, number):
+            case effects.WithholdLaunch(name, number):
                 host = self.hosts[name]
                 if any(number == waiting[0] for waiting in host.outbox):
                     host.outbox = [waiting for waiting in host.outbox if waiting[0] != number]
-                    self.engine.put(on.Unsent(name, (number,)))
-            case do.SendStop(name, launch) if self.hosts[name].up:
+                    self.engine.put(events.LaunchesUnsent(name, (number,)))
+            case effects.SendStop(name, launch) if self.hosts[name].up:
                 self.hosts[name].stops.append(launch)
-            case do.SendEndSeen(name, launch) if self.hosts[name].up:
+            case effects.SendEndSeen(name, launch) if self.hosts[name].up:
                 self.hosts[name].held.pop(launch, None)
-            case do.Take(_, key, job):
+            case effects.AcceptJob(_, key, job):
                 self.jobs[job] = key
-            case do.Answer(_, key, _, verdict) if effect.client:
+            case effects.Answer(_, key, _, verdict) if effect.client:
                 self.tell(key, verdict.value)
-            case do.Standing(_, key, _, _, stage):
+            case effects.JobStatus(_, key, _, _, stage):
                 if stage.name in ("REJECTED", "WRITTEN_OFF"):
                     self.tell(key, stage.value)
                 elif stage.name not in ("HELD", "LATER", "WAITING"):
@@ -139,9 +139,9 @@
     def flush(self, name):
         host = self.hosts[name]
         for number, launch, job in host.outbox:
-            self.engine.put(on.Left(name, host.link, (number,)))
+            self.engine.put(events.LaunchesSent(name, host.link, (number,)))
             host.queue.append(launch)
-            host.held[launch] = [job, on.Phase.QUEUED]
+            host.held[launch] = [job, events.Phase.QUEUED]
         host.outbox.clear()
 
     def tell(self, key, verdict):
@@ -158,7 +158,7 @@
 
     def ask(self, key):
         offering, hold = self.keys[key]
-        self.feed(on.Submitted(1, key, offering, "", "v", 1.0, 1.0, 0.0, "s", follow=True, hold=hold))
+        self.feed(events.Submitted(1, key, offering, "", "v", 1.0, 1.0, 0.0, "s", follow=True, hold=hold))
 
     @precondition(lambda self: self.keys)
     @rule(data=st.data(), kind=st.sampled_from([None, *OrderKind]))
@@ -167,7 +167,7 @@
         if kind is None:
             self.ask(key)
         else:
-            self.feed(on.Ordered(1, "s", key, kind))
+            self.feed(events.Ordered(1, "s", key, kind))
 
     # -- hosts
 
@@ -195,10 +195,10 @@
             host.queue.clear()
             host.life = self.life
         account = tuple(
-            on.Held(launch, job, phase, *((api.Result.DONE,) if phase is on.Phase.OVER else ()))
+            events.HeldLaunch(launch, job, phase, *((api.Result.DONE,) if phase is events.Phase.OVER else ()))
             for launch, (job, phase) in host.held.items()
         )
-        if self.feed(on.LinkUp(name, host.link, host.boot, 99.0, account)) and host.up:
+        if self.feed(events.LinkUp(name, host.link, host.boot, 99.0, account)) and host.up:
             self.flush(name)
             self.feed()
 
@@ -211,7 +211,7 @@
                 for launch in host.queue:
                     host.held.pop(launch, None)
                 host.queue.clear()
-            self.feed(on.LinkDown(name, host.link))
+            self.feed(events.LinkDown(name, host.link))
 
     def reborn(self, name):
         host = self.hosts[name]
@@ -220,7 +220,7 @@
         host.queue.clear()
         if host.up:
             host.up = False
-            self.feed(on.LinkDown(name, host.link))
+            self.feed(events.LinkDown(name, host.link))
 
     @precondition(lambda self: any(host.queue for host in self.hosts.values()))
     @rule(said=st.lists(st.sampled_from(["yes", "unheard yes", "no"]), min_size=1, max_size=4))
@@ -243,21 +243,25 @@
         if said == "no":
             del host.held[launch]
         else:
-            host.held[launch][1] = on.Phase.ACCEPTED
+            host.held[launch][1] = events.Phase.ACCEPTED
             self.runs.setdefault(job.id, []).append((self.now, name))
         if host.up and said != "unheard yes":
             self.feed(
-                on.Refused(name, launch, api.Reason.CORES) if said == "no" else on.Accepted(name, launch)
+                events.Refused(name, launch, api.Reason.CORES)
+                if said == "no"
+                else events.Accepted(name, launch)
             )
 
     def end(self, name):
         host = self.hosts[name]
         for launch, (job, phase) in list(host.held.items()):
-            if phase is on.Phase.ACCEPTED:
-                host.held[launch][1] = on.Phase.OVER
+            if phase is events.Phase.ACCEPTED:
+                host.held[launch][1] = events.Phase.OVER
                 if host.up:
                     self.feed(
-                        on.Over(name, launch, api.Result.DONE, api.Reason.UNTOLD, on.Ran(0, 1.0, 1.0, 1.0))
+                        events.LaunchEnded(
+                            name, launch, api.Result.DONE, api.Reason.UNTOLD, events.Ran(0, 1.0, 1.0, 1.0)
+                        )
                     )
                 return
 
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -12,11 +12,11 @@
 from linedeal.client.course import Next, State, View, home_away, home_back
 from linedeal.client.owner import END, HOLD, RELEASE, NoSuchJob, OrderRefused, Owner, OwnerFault
 from linedeal.controller import owners
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
-from linedeal.engine.control import Fault, Move, OrderKind, rule
+from linedeal.engine import effects
+from linedeal.engine import events
+from linedeal.engine.control import Fault, OrderAction, OrderKind, decide_order
 from linedeal.engine.ledger import Entry, Stage
-from linedeal.engine.recovery import KeptAnswer, OldLaunch, OpenJob
+from linedeal.engine.recovery import StoredAnswer, OldLaunch, OpenJob
 from linedeal.interface import Effect
 from linedeal.protocol import pb
 from linedeal.settings.cluster import ConfigFault, parse_cluster
@@ -35,73 +35,78 @@
 @pytest.mark.parametrize(
     "kind, stage, out, ran, effect, move",
     [
-        ("END", "WAITING", False, False, "IRREVERSIBLE", Move.REJECT),
-        ("END", "WAITING", True, False, "IRREVERSIBLE", Move.WRITE_OFF),
-        ("END", "WAITING", True, False, "LABELLED", Move.WRITE_OFF),
-        ("END", "WAITING", True, True, "REDOABLE", Move.REJECT),
-        ("END", "WAITING", False, True, "LABELLED", Move.WRITE_OFF),
-        ("END", "HELD", False, False, "IRREVERSIBLE", Move.REJECT),
-        ("END", "PLACED", True, False, "IRREVERSIBLE", Move.STOP),
-        ("END", "RUNNING", True, False, "REDOABLE", Move.STOP),
-        ("END", "DONE", False, False, "REDOABLE", Move.REFUSE),
-        ("HOLD", "WAITING", False, False, "IRREVERSIBLE", Move.HOLD),
-        ("HOLD", "LATER", False, False, "IRREVERSIBLE", Move.HOLD),
-        ("HOLD", "WAITING", True, False, "REDOABLE", Move.REFUSE),
-        ("HOLD", "WAITING", False, True, "LABELLED", Move.REFUSE),
-        ("HOLD", "WAITING", False, True, "REDOABLE", Move.HOLD),
-        ("HOLD", "HELD", False, False, "REDOABLE", Move.NOTHING),
-        ("HOLD", "RUNNING", True, False, "REDOABLE", Move.REFUSE),
-        ("RELEASE", "HELD", False, False, "REDOABLE", Move.RELEASE),
-        ("RELEASE", "WAITING", False, False, "REDOABLE", Move.REFUSE),
-        ("RELEASE", "REJECTED", False, False, "REDOABLE", Move.REFUSE),
+        ("END", "WAITING", False, False, "IRREVERSIBLE", OrderAction.REJECT),
+        ("END", "WAITING", True, False, "IRREVERSIBLE", OrderAction.WRITE_OFF),
+        ("END", "WAITING", True, False, "LABELLED", OrderAction.WRITE_OFF),
+        ("END", "WAITING", True, True, "REDOABLE", OrderAction.REJECT),
+        ("END", "WAITING", False, True, "LABELLED", OrderAction.WRITE_OFF),
+        ("END", "HELD", False, False, "IRREVERSIBLE", OrderAction.REJECT),
+        ("END", "PLACED", True, False, "IRREVERSIBLE", OrderAction.STOP),
+        ("END", "RUNNING", True, False, "REDOABLE", OrderAction.STOP),
+        ("END", "DONE", False, False, "REDOABLE", OrderAction.REFUSE),
+        ("HOLD", "WAITING", False, False, "IRREVERSIBLE", OrderAction.HOLD),
+        ("HOLD", "LATER", False, False, "IRREVERSIBLE", OrderAction.HOLD),
+        ("HOLD", "WAITING", True, False, "REDOABLE", OrderAction.REFUSE),
+        ("HOLD", "WAITING", False, True, "LABELLED", OrderAction.REFUSE),
+        ("HOLD", "WAITING", False, True, "REDOABLE", OrderAction.HOLD),
+        ("HOLD", "HELD", False, False, "REDOABLE", OrderAction.NOTHING),
+        ("HOLD", "RUNNING", True, False, "REDOABLE", OrderAction.REFUSE),
+        ("RELEASE", "HELD", False, False, "REDOABLE", OrderAction.RELEASE),
+        ("RELEASE", "WAITING", False, False, "REDOABLE", OrderAction.REFUSE),
+        ("RELEASE", "REJECTED", False, False, "REDOABLE", OrderAction.REFUSE),
     ],
 )
 def test_what_an_order_does(kind, stage, out, ran, effect, move):
     assert (
-        rule(OrderKind[kind], Entry("s", "k", JOB, stage=Stage[stage]), out, ran, Effect[effect]).move is move
+        decide_order(
+            OrderKind[kind], Entry("s", "k", JOB, stage=Stage[stage]), out, ran, Effect[effect]
+        ).action
+        is move
     )
 
 
 def ask(d, now, offering="web", key="k", client=1, **rest):
-    return d.step(now, on.Submitted(client, key, offering, "", "v", 1.0, 1.0, 0.0, "s", follow=True, **rest))
+    return d.step(
+        now, events.Submitted(client, key, offering, "", "v", 1.0, 1.0, 0.0, "s", follow=True, **rest)
+    )
 
 
 def order(d, now, kind, key="k"):
-    return d.step(now, on.Ordered(1, "s", key, OrderKind[kind]))
+    return d.step(now, events.Ordered(1, "s", key, OrderKind[kind]))
 
 
-def stages(d, effects):
-    return [effect.stage.name for effect in d.of_type(do.Standing, effects)]
+def stages(d, emitted):
+    return [effect.stage.name for effect in d.of_type(effects.JobStatus, emitted)]
 
 
-def fault(d, effects):
-    return d.of_type(do.Reply, effects)[0].fault
+def fault(d, emitted):
+    return d.of_type(effects.Reply, emitted)[0].fault
 
 
 def test_a_held_job_is_not_launched_and_its_time_stands_still():
     d = EngineDriver()
-    assert not d.of_type(do.SendLaunch, ask(d, 1.0, hold=True))
-    assert not d.of_type(do.Answer, d.advance(100.0))  # its six seconds do not pass
-    effects = order(d, 100.0, "RELEASE")
-    sent = d.of_type(do.SendLaunch, effects)[0]
-    assert sent.job.expiry == 106.0 and stages(d, effects) == ["WAITING"]
-    assert do.KeepHold(sent.job.id, False, 6.0, 0.0) in effects
+    assert not d.of_type(effects.SendLaunch, ask(d, 1.0, hold=True))
+    assert not d.of_type(effects.Answer, d.advance(100.0))  # its six seconds do not pass
+    emitted = order(d, 100.0, "RELEASE")
+    sent = d.of_type(effects.SendLaunch, emitted)[0]
+    assert sent.job.expiry == 106.0 and stages(d, emitted) == ["WAITING"]
+    assert effects.RecordHold(sent.job.id, False, 6.0, 0.0) in emitted
 
 
 def test_a_start_time_is_waited_for():
     d = EngineDriver()
     assert stages(d, ask(d, 1.0, start_in=5.0)) == ["LATER"]
-    assert not d.of_type(do.SendLaunch, d.advance(5.9))
-    assert d.of_type(do.SendLaunch, d.advance(6.1))
+    assert not d.of_type(effects.SendLaunch, d.advance(5.9))
+    assert d.of_type(effects.SendLaunch, d.advance(6.1))
 
 
 def test_a_hold_at_the_moment_of_launch_is_refused():
     # guards against a job that its owner believes held while a host is about to say yes
     d = EngineDriver()
-    job = d.of_type(do.SendLaunch, ask(d, 1.0))[0].job
+    job = d.of_type(effects.SendLaunch, ask(d, 1.0))[0].job
     assert fault(d, order(d, 1.0, "HOLD")) is Fault.WRONG_STATE
     sent = d.engine.by_job[job.id]
-    d.step(1.1, on.Refused(sent.host, sent.id, api.Reason.CORES))
+    d.step(1.1, events.Refused(sent.host, sent.id, api.Reason.CORES))
     if job.id not in d.engine.by_job:
         assert fault(d, order(d, 1.1, "HOLD")) is Fault.NONE
 
@@ -109,22 +114,22 @@
 def test_a_job_that_waits_for_room_is_held_and_then_not_launched_into_it():
     d = EngineDriver()
     for number in range(10):
-        effects = ask(d, 1.0, "pair", f"k{number}")
-        if not d.of_type(do.SendLaunch, effects):
+        emitted = ask(d, 1.0, "pair", f"k{number}")
+        if not d.of_type(effects.SendLaunch, emitted):
             break
     assert fault(d, order(d, 1.1, "HOLD", f"k{number}")) is Fault.NONE
     sent = next(iter(d.engine.launches.values()))
-    d.step(1.2, on.Left(sent.host, d.links[sent.host], (sent.id.number,)))
-    d.step(1.3, on.Accepted(sent.host, sent.id))
-    ended = on.Over(sent.host, sent.id, api.Result.DONE, api.Reason.UNTOLD)
+    d.step(1.2, events.LaunchesSent(sent.host, d.links[sent.host], (sent.id.number,)))
+    d.step(1.3, events.Accepted(sent.host, sent.id))
+    ended = events.LaunchEnded(sent.host, sent.id, api.Result.DONE, api.Reason.UNTOLD)
     held = d.engine.sessions.ledger.entries["s", f"k{number}"].job.id
     assert held not in [
-        launch.job.id for launch in d.of_type(do.SendLaunch, d.step(1.4, ended) + d.advance(20.0))
+        launch.job.id for launch in d.of_type(effects.SendLaunch, d.step(1.4, ended) + d.advance(20.0))
     ]
     # the four seconds and more that it had left begin again with its release
-    assert d.of_type(do.SendLaunch, order(d, 50.0, "RELEASE", f"k{number}"))[0].job.expiry == pytest.approx(
-        50.0 + 5.9
-    )
+    assert d.of_type(effects.SendLaunch, order(d, 50.0, "RELEASE", f"k{number}"))[
+        0
+    ].job.expiry == pytest.approx(50.0 + 5.9)
 
 
 def test_a_second_hold_lasts_as_long_as_the_first():
@@ -141,9 +146,9 @@
 
 def test_a_labelled_job_that_may_have_run_cannot_be_held():
     d = EngineDriver()
-    sent = d.of_type(do.SendLaunch, ask(d, 1.0, "mail"))[0]
-    d.step(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
-    d.engine.taken[sent.job.id].risk = (sent.host, 1.0)
+    sent = d.of_type(effects.SendLaunch, ask(d, 1.0, "mail"))[0]
+    d.step(1.0, events.LaunchesSent(sent.host, d.links[sent.host], (sent.number,)))
+    d.engine.unanswered[sent.job.id].risk = (sent.host, 1.0)
     d.engine.by_job.pop(sent.job.id)
     assert fault(d, order(d, 1.1, "HOLD")) is Fault.WRONG_STATE
 
@@ -153,66 +158,66 @@
 )
 def test_ending_a_job_whose_launch_has_no_answer_is_answered_at_once(offering, verdict):
     d = EngineDriver()
-    sent = d.of_type(do.SendLaunch, ask(d, 1.0, offering))[0]
-    d.step(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
-    effects = order(d, 1.1, "END")
-    assert d.verdicts(effects) == [verdict] and d.of_type(do.SendStop, effects)
-    late = d.step(1.2, on.Accepted(sent.host, on.LaunchId(3, sent.number)))
-    assert d.of_type(do.SendStop, late) and not d.of_type(
-        do.Answer, late
+    sent = d.of_type(effects.SendLaunch, ask(d, 1.0, offering))[0]
+    d.step(1.0, events.LaunchesSent(sent.host, d.links[sent.host], (sent.number,)))
+    emitted = order(d, 1.1, "END")
+    assert d.verdicts(emitted) == [verdict] and d.of_type(effects.SendStop, emitted)
+    late = d.step(1.2, events.Accepted(sent.host, events.LaunchId(3, sent.number)))
+    assert d.of_type(effects.SendStop, late) and not d.of_type(
+        effects.Answer, late
     )  # what comes after is stopped, and no answer
-    assert not d.of_type(do.SendLaunch, d.advance(20.0))
+    assert not d.of_type(effects.SendLaunch, d.advance(20.0))
 
 
 def test_a_jobs_course_is_kept_and_told_to_its_end():
     d = EngineDriver()
-    sent = d.of_type(do.SendLaunch, ask(d, 1.0))[0]
-    launch = on.LaunchId(3, sent.number)
-    d.step(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
-    assert stages(d, d.step(1.1, on.Accepted(sent.host, launch))) == ["PLACED"]
-    assert stages(d, d.step(1.2, on.Started(sent.host, launch))) == ["RUNNING"]
-    ran = on.Ran(3, 2.0, 1.5, 0.5)
-    effects = d.step(3.2, on.Over(sent.host, launch, api.Result.ERROR, api.Reason.EVICTED, ran))
-    assert stages(d, effects) == ["ERROR"] and d.of_type(do.Standing, effects)[0].ran == ran
-    keep = effects.index(do.KeepCourse(sent.job.id, "ERROR", "memory ran out", ran, over=True))
-    assert keep < len(effects)
+    sent = d.of_type(effects.SendLaunch, ask(d, 1.0))[0]
+    launch = events.LaunchId(3, sent.number)
+    d.step(1.0, events.LaunchesSent(sent.host, d.links[sent.host], (sent.number,)))
+    assert stages(d, d.step(1.1, events.Accepted(sent.host, launch))) == ["PLACED"]
+    assert stages(d, d.step(1.2, events.Started(sent.host, launch))) == ["RUNNING"]
+    ran = events.Ran(3, 2.0, 1.5, 0.5)
+    emitted = d.step(3.2, events.LaunchEnded(sent.host, launch, api.Result.ERROR, api.Reason.EVICTED, ran))
+    assert stages(d, emitted) == ["ERROR"] and d.of_type(effects.JobStatus, emitted)[0].ran == ran
+    keep = emitted.index(effects.RecordProgress(sent.job.id, "ERROR", "memory ran out", ran, over=True))
+    assert keep < len(emitted)
     assert not d.of_type(
-        do.KeepNoMore, d.step(3.3, on.AnswerSeen("s", "k"))
+        effects.DeleteRecord, d.step(3.3, events.AnswerSeen("s", "k"))
     )  # it is followed: kept until forgotten
-    assert d.of_type(do.KeepNoMore, d.step(3.4, on.Forgotten("s", "k")))
-    assert fault(d, d.step(3.5, on.StandingAsked(1, "s", "k"))) is Fault.NO_SUCH_JOB
+    assert d.of_type(effects.DeleteRecord, d.step(3.4, events.ForgetRequested("s", "k")))
+    assert fault(d, d.step(3.5, events.StatusRequested(1, "s", "k"))) is Fault.NO_SUCH_JOB
 
 
 def test_a_running_job_is_not_forgotten():
     d = EngineDriver()
-    sent = d.of_type(do.SendLaunch, ask(d, 1.0))[0]
-    d.step(1.1, on.Accepted(sent.host, on.LaunchId(3, sent.number)))
-    assert d.step(1.2, on.Forgotten("s", "k")) == []
+    sent = d.of_type(effects.SendLaunch, ask(d, 1.0))[0]
+    d.step(1.1, events.Accepted(sent.host, events.LaunchId(3, sent.number)))
+    assert d.step(1.2, events.ForgetRequested("s", "k")) == []
 
 
 def test_an_end_is_ordered_again_on_a_new_link():
     # guards against a stop that was lost with its link: the job would run on for ever
     d = EngineDriver()
-    sent = d.of_type(do.SendLaunch, ask(d, 1.0))[0]
-    launch = on.LaunchId(3, sent.number)
-    d.step(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
-    d.step(1.1, on.Accepted(sent.host, launch))
+    sent = d.of_type(effects.SendLaunch, ask(d, 1.0))[0]
+    launch = events.LaunchId(3, sent.number)
+    d.step(1.0, events.LaunchesSent(sent.host, d.links[sent.host], (sent.number,)))
+    d.step(1.1, events.Accepted(sent.host, launch))
     d.link_down(sent.host, 1.2)
     assert fault(d, order(d, 1.3, "END")) is Fault.NONE
     up = d.link_up(
         sent.host,
         d.engine.fleet.hosts[sent.host].listed.boot,
         2.0,
-        held=(on.Held(launch, sent.job, on.Phase.RUNNING),),
+        held=(events.HeldLaunch(launch, sent.job, events.Phase.RUNNING),),
     )
-    assert do.SendStop(sent.host, launch) in up
+    assert effects.SendStop(sent.host, launch) in up
 
 
 def test_a_job_of_a_host_that_is_reborn_is_told_as_lost():
     d = EngineDriver()
-    sent = d.of_type(do.SendLaunch, ask(d, 1.0))[0]
-    d.step(1.0, on.Left(sent.host, d.links[sent.host], (sent.number,)))
-    d.step(1.1, on.Accepted(sent.host, on.LaunchId(3, sent.number)))
+    sent = d.of_type(effects.SendLaunch, ask(d, 1.0))[0]
+    d.step(1.0, events.LaunchesSent(sent.host, d.links[sent.host], (sent.number,)))
+    d.step(1.1, events.Accepted(sent.host, events.LaunchId(3, sent.number)))
     d.link_down(sent.host, 1.2)
     assert "LOST" in stages(d, d.link_up(sent.host, 9, 2.0, age=1.0))
 
@@ -224,8 +229,8 @@
 
 
 def placed(stage="RUNNING", host="a", **rest):
-    return KeptAnswer(
-        "s", "k", JOB, stage, host, on.LaunchId(1, 4), follow=True, taken_ago=5.0, placed_ago=4.0, **rest
+    return StoredAnswer(
+        "s", "k", JOB, stage, host, events.LaunchId(1, 4), follow=True, taken_ago=5.0, placed_ago=4.0, **rest
     )
 
 
@@ -234,28 +239,33 @@
     host = next(iter(d.engine.fleet.hosts))
     d.engine.sessions.unaccounted[host] = d.engine.sessions.unaccounted.pop("a")
     d.engine.sessions.ledger.by_job[JOB.id].host = host
-    d.step(0.1, on.StandingAsked(1, "s", ""))
-    effects = d.link_up(host, 1, 0.2, held=(on.Held(on.LaunchId(1, 4), JOB, on.Phase.RUNNING),))
-    assert "LOST" not in stages(d, effects)
+    d.step(0.1, events.StatusRequested(1, "s", ""))
+    emitted = d.link_up(
+        host, 1, 0.2, held=(events.HeldLaunch(events.LaunchId(1, 4), JOB, events.Phase.RUNNING),)
+    )
+    assert "LOST" not in stages(d, emitted)
     d = recovered(placed())
     d.engine.sessions.unaccounted[host] = d.engine.sessions.unaccounted.pop("a")
     d.engine.sessions.ledger.by_job[JOB.id].host = host
-    d.step(0.1, on.StandingAsked(1, "s", ""))
+    d.step(0.1, events.StatusRequested(1, "s", ""))
     assert stages(d, d.link_up(host, 1, 0.2)) == ["LOST"]
 
 
 def test_after_a_restart_a_job_on_a_host_that_no_list_names_is_lost():
     d = recovered(placed(host="nowhere"))
-    d.step(0.1, on.StandingAsked(1, "s", ""))
+    d.step(0.1, events.StatusRequested(1, "s", ""))
     assert stages(d, d.list_hosts(list(d.engine.fleet.hosts), 0.2)) == ["LOST"]
 
 
 def test_an_end_ordered_in_an_earlier_life_is_carried_out():
     d = recovered(placed(ending=True))
-    effects = d.link_up(
-        next(iter(d.engine.fleet.hosts)), 1, 0.2, held=(on.Held(on.LaunchId(1, 4), JOB, on.Phase.RUNNING),)
+    emitted = d.link_up(
+        next(iter(d.engine.fleet.hosts)),
+        1,
+        0.2,
+        held=(events.HeldLaunch(events.LaunchId(1, 4), JOB, events.Phase.RUNNING),),
     )
-    assert any(stop.launch == on.LaunchId(1, 4) for stop in d.of_type(do.SendStop, effects))
+    assert any(stop.launch == events.LaunchId(1, 4) for stop in d.of_type(effects.SendStop, emitted))
 
 
 def test_a_labelled_job_goes_on_in_its_group_and_window_after_a_restart():
@@ -269,27 +279,27 @@
     ):
         d = EngineDriver()
         d.engine.recover(
-            (OpenJob("s", "k", mail, 5.0, (OldLaunch(on.LaunchId(1, 4), host, 1, False, ago),)),), ()
+            (OpenJob("s", "k", mail, 5.0, (OldLaunch(events.LaunchId(1, 4), host, 1, False, ago),)),), ()
         )
         if other_zone:  # only hosts of another group are left
             d.list_hosts([name for name in d.engine.fleet.hosts if name != host], 0.1, zone="far")
             d.engine.fleet.hosts[host] = d.engine.fleet.hosts.get(host) or None
             d.engine.fleet.hosts.pop(host)
-        effects = d.link_up(host, 2, 0.2, age=1.0) + d.advance(4.0)
-        assert bool(d.of_type(do.SendLaunch, effects)) is goes_on, (ago, other_zone)
+        emitted = d.link_up(host, 2, 0.2, age=1.0) + d.advance(4.0)
+        assert bool(d.of_type(effects.SendLaunch, emitted)) is goes_on, (ago, other_zone)
 
 
 def test_a_hold_lasts_over_a_restart_and_not_for_ever():
     d = recovered(
         open_jobs=[OpenJob("s", "k", replace(JOB, expiry=float("inf")), 4.0, held=True, follow=True)]
     )
-    assert not d.of_type(do.SendLaunch, d.advance(50.0))
-    d.step(50.0, on.StandingAsked(1, "s", ""))
-    assert d.of_type(do.SendLaunch, order(d, 50.0, "RELEASE"))[0].job.expiry == 54.0
+    assert not d.of_type(effects.SendLaunch, d.advance(50.0))
+    d.step(50.0, events.StatusRequested(1, "s", ""))
+    assert d.of_type(effects.SendLaunch, order(d, 50.0, "RELEASE"))[0].job.expiry == 54.0
     d = EngineDriver()
     ask(d, 1.0, hold=True)
-    effects = d.step_without_timers(1.0 + d.engine.cluster.limits.hold)
-    assert d.verdicts(effects) == ["rejected"]
+    emitted = d.step_without_timers(1.0 + d.engine.cluster.limits.hold)
+    assert d.verdicts(emitted) == ["rejected"]
 
 
 # who may
@@ -606,7 +616,7 @@
         async with Owner.open(ground.net, C1) as owner:
             with pytest.raises(TurnedAway, match="too many jobs"):
                 await owner.submit_many([(WEB, f"b.{i}", None) for i in range(30)], hold=True, within=2.0)
-            assert not ground.servers["c1"].engine.taken
+            assert not ground.servers["c1"].engine.unanswered
 
     run_in_memory(tmp_path, work, cluster=PAIR.replace("held = 20000", "held = 20"))
 
@@ -694,7 +704,7 @@
 
 
 def test_hosts_that_owners_wait_for_are_asked_first():
-    d = recovered(open_jobs=[OpenJob("s", "k", JOB, 5.0, (OldLaunch(on.LaunchId(1, 4), "h29", 1),))])
-    d.engine.asking.waiting.clear()
-    asked = d.of_type(do.OpenLink, d.list_hosts([f"h{n:02}" for n in range(30)], 0.1))
+    d = recovered(open_jobs=[OpenJob("s", "k", JOB, 5.0, (OldLaunch(events.LaunchId(1, 4), "h29", 1),))])
+    d.engine.connect_pacer.waiting.clear()
+    asked = d.of_type(effects.OpenLink, d.list_hosts([f"h{n:02}" for n in range(30)], 0.1))
     assert asked[0].host == "h29"
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -482,7 +482,11 @@
         for number in range(100):
             await bad.send("release", f"{number:016x}", cause=16)
         await g.wait_until(3, lambda: bad.received or bad.closed.is_set())
-        assert not g.service.route.tasks and not g.service.engine.taken and not g.service.hosts["h1"].tasks_of
+        assert (
+            not g.service.route.tasks
+            and not g.service.engine.unanswered
+            and not g.service.hosts["h1"].tasks_of
+        )
 
 
 async def test_hundreds_of_silent_connections_keep_nobody_out(tmp_path, log):
@@ -560,7 +564,7 @@
         names = [f"{number:016x}" for number in range(300)]
         for number, name in enumerate(names):
             await owners[number % 3].setup(name, ("web", "mail", "feed")[number % 3], left="1900")
-        await g.wait_until(2, lambda: len(g.service.engine.taken) == 300)
+        await g.wait_until(2, lambda: len(g.service.engine.unanswered) == 300)
         os.kill(os.getpid(), signal.SIGTERM)
         for number, name in enumerate(names):
             await owners[number % 3].wait_for("release", name)
@@ -574,7 +578,7 @@
     async with platform_cluster(tmp_path, log, {"h1": Host(silent(Type.SETUP))}) as g:
         owner = await g.client()
         await owner.setup(A, left="1500")
-        await g.wait_until(2, lambda: g.service.engine.taken)
+        await g.wait_until(2, lambda: g.service.engine.unanswered)
         os.kill(os.getpid(), signal.SIGTERM)
         await anyio.sleep(0.4)
         await owner.setup(B, left="6000")
@@ -600,7 +604,7 @@
     async with platform_cluster(tmp_path, log, {"h1": Host(silent(Type.SETUP))}) as g:
         owner = await g.client()
         await owner.setup(A, left="600")
-        await g.wait_until(2, lambda: g.service.engine.taken)
+        await g.wait_until(2, lambda: g.service.engine.unanswered)
         (link,) = g.service.owners.links.values()
         slowed(link.link, 0.12)
         os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -16,9 +16,9 @@
 import pytest
 
 from linedeal import interface as api
-from linedeal.engine import effects as do
+from linedeal.engine import effects
 from linedeal.engine import engine
-from linedeal.engine import events as on
+from linedeal.engine import events
 from linedeal.engine.launches import State
 from linedeal.loop import inbox
 from linedeal.net import Link, TcpNet
@@ -210,7 +210,7 @@
     # a loop that stood still gives launches up late: what is remembered of a task until its job expires was dropped with
     # the launch still out, and that ended the program
     monkeypatch.setattr(hostlink, "LOOK", 0.001)
-    monkeypatch.setattr(engine, "STALL_SEEN", -1.0)
+    monkeypatch.setattr(engine, "STALL_THRESHOLD", -1.0)
     async with platform_cluster(tmp_path, log, {"h1": Host(silent)}) as g:
         owner = await g.client()
         await owner.setup(A, "feed", left="300")
@@ -346,17 +346,17 @@
         stayer, leaver = await g.client(), raw_owner(g.address)
         await stayer.setup(B)
         await stayer.wait_for("answer", B)
-        turn = g.service.engine.turn
+        turn = g.service.engine.step
 
         def long_turn(now):
-            effects = turn(now)
-            if any(type(effect) is do.SendLaunch and effect.work[:8].hex() == A for effect in effects):
+            emitted = turn(now)
+            if any(type(effect) is effects.SendLaunch and effect.work[:8].hex() == A for effect in emitted):
                 leaver.sendall(release_line(A))
                 if how == "closes":
                     leaver.close()
-            return effects
+            return emitted
 
-        monkeypatch.setattr(g.service.engine, "turn", long_turn)
+        monkeypatch.setattr(g.service.engine, "step", long_turn)
         leaver.sendall(setup_line(A))
         await g.wait_until(2, lambda: g.service.engine.counts["launches"] == 2)
         await g.wait_until(2, lambda: A not in g.service.route.tasks)
@@ -378,10 +378,10 @@
         await g.wait_until(2, lambda: not g.service.engine.module.serving_hosts)
         owner = await g.client()
         await owner.setup(A)
-        await g.wait_until(2, lambda: g.service.engine.taken)
+        await g.wait_until(2, lambda: g.service.engine.unanswered)
         monkeypatch.setattr(Link, "close", slow)
         await owner.stream.aclose()
-        await g.wait_until(2, lambda: not g.service.engine.taken)
+        await g.wait_until(2, lambda: not g.service.engine.unanswered)
         assert g.service.owners.closing == 1 and g.service.descriptors.owners == 1  # it still holds one
         held.set()
         await g.wait_until(2, lambda: not g.service.descriptors.owners)
@@ -390,16 +390,16 @@
 async def test_a_yes_for_a_client_that_goes_in_the_same_turn_is_ended_at_its_host(tmp_path, log, monkeypatch):
     # the engine has answered it, and no owner knows of what stands
     async with platform_cluster(tmp_path, log, {"h1": Host()}) as g:
-        owner, turn = await g.client(), g.service.engine.turn
+        owner, turn = await g.client(), g.service.engine.step
 
         def and_goes(now):
-            effects = turn(now)
-            if any(type(effect) is do.Answer for effect in effects):
+            emitted = turn(now)
+            if any(type(effect) is effects.Answer for effect in emitted):
                 for link in list(g.service.owners.links.values()):
                     g.service.owners.let_go(link, "closed by the other side")
-            return effects
+            return emitted
 
-        monkeypatch.setattr(g.service.engine, "turn", and_goes)
+        monkeypatch.setattr(g.service.engine, "step", and_goes)
         await owner.setup(A)
         await g.wait_until(2, lambda: g.hosts["h1"].received(Type.RELEASE))
         await g.wait_until(2, lambda: not g.hosts["h1"].running and not running_job_count(g.service, "h1"))
@@ -423,7 +423,7 @@
 ):
     # `left` counts from when it was sent: reckoned from when it was read, or taken, the answer came after its owner's time
     async with platform_cluster(tmp_path, log, {"h1": Host(silent)}) as g:
-        owner, turn, sent = raw_owner(g.address), g.service.engine.turn, []
+        owner, turn, sent = raw_owner(g.address), g.service.engine.step, []
         owner.sendall(json.dumps({"type": "ping", "id": B, "fields": {}, "cause": 0}).encode() + b"\n")
         await g.wait_until(2, lambda: any(link.usual for link in g.service.owners.links.values()))
 
@@ -434,10 +434,10 @@
                 time.sleep(0.4)  # the loop stands still
             return turn(now)
 
-        monkeypatch.setattr(g.service.engine, "turn", long_turn)
+        monkeypatch.setattr(g.service.engine, "step", long_turn)
         g.service.inbox.arrived.set()
-        await g.wait_until(2, lambda: g.service.engine.taken)
-        (taken,) = g.service.engine.taken.values()
+        await g.wait_until(2, lambda: g.service.engine.unanswered)
+        (taken,) = g.service.engine.unanswered.values()
         assert sent[0] + 2.9 <= taken.job.expiry <= sent[0] + 3.0 + 0.03
 
 
@@ -464,9 +464,9 @@
         await anyio.sleep(0.3)
         sent = await anyio.to_thread.run_sync(come)
         with anyio.fail_after(10):
-            while not g.service.engine.taken:
+            while not g.service.engine.unanswered:
                 await anyio.sleep(0)
-        (taken,) = g.service.engine.taken.values()
+        (taken,) = g.service.engine.unanswered.values()
         assert sent + 2.0 <= taken.job.expiry <= sent + 3.0 + 0.1
 
 
@@ -486,9 +486,9 @@
         await anyio.sleep(0.3)
         sent = await anyio.to_thread.run_sync(come)
         with anyio.fail_after(10):
-            while len(g.service.engine.taken) < 12:
+            while len(g.service.engine.unanswered) < 12:
                 await anyio.sleep(0)
-        over = max(taken.job.expiry for taken in g.service.engine.taken.values()) - sent - 3.0
+        over = max(taken.job.expiry for taken in g.service.engine.unanswered.values()) - sent - 3.0
         assert over <= 0.1, f"{over:.2f} s over its owner's time"
 
 
@@ -559,38 +559,44 @@
 
 @pytest.mark.parametrize("late", [0.0, 0.1, 0.4])
 @pytest.mark.parametrize("left", [True, False])
-@pytest.mark.parametrize("offering,verdict", [("web", do.Verdict.REJECTED), ("feed", do.Verdict.WRITTEN_OFF)])
+@pytest.mark.parametrize(
+    "offering,verdict", [("web", effects.Verdict.REJECTED), ("feed", effects.Verdict.WRITTEN_OFF)]
+)
 def test_a_job_whose_time_is_over_has_its_answer_in_that_turn_whatever_its_launch_is_owed(
     offering, verdict, left, late
 ):
     # the word that gives the launch up takes some turns more: as long as the loop is slow, and the answer came too late
     setup = SETUP | {"domain": SETUP["domain"] | {"confirms": "running"}}
-    controller = engine.Engine(parsed_config(setup=setup).cluster, "n1", 1, 5, 0.0, accounts_given=False)
+    controller = engine.Engine(
+        parsed_config(setup=setup).cluster, "n1", 1, 5, 0.0, hosts_send_inventory=False
+    )
     controller.begin()
     controller.put(
-        on.ListHeard(
-            (on.ListedHost("h1", ("127.0.0.1:1",), "std", "z", 0, api.Mode.SERVING, 0, 1e7, 36.0, 80.0),),
+        events.HostListReceived(
+            (events.ListedHost("h1", ("127.0.0.1:1",), "std", "z", 0, api.Mode.SERVING, 0, 1e7, 36.0, 80.0),),
             True,
             1,
         )
     )
-    controller.turn(0.0)
-    controller.put(on.Submitted(7, A, offering, "acme", "s", 1.0, 2.0, 3.0, work=bytes.fromhex(A)))
-    (launch,) = (one for one in controller.turn(1.0) if type(one) is do.SendLaunch)
+    controller.step(0.0)
+    controller.put(events.Submitted(7, A, offering, "acme", "s", 1.0, 2.0, 3.0, work=bytes.fromhex(A)))
+    (launch,) = (one for one in controller.step(1.0) if type(one) is effects.SendLaunch)
     if left:
-        controller.put(on.Left("h1", 1, (launch.number,)))
-    assert not any(type(one) is do.Answer for one in controller.turn(3.9))
-    out = controller.turn(4.0 + late)
-    (given,) = (one for one in out if type(one) is do.Answer)
+        controller.put(events.LaunchesSent("h1", 1, (launch.number,)))
+    assert not any(type(one) is effects.Answer for one in controller.step(3.9))
+    out = controller.step(4.0 + late)
+    (given,) = (one for one in out if type(one) is effects.Answer)
     assert given.verdict is (
-        verdict if left else do.Verdict.REJECTED
+        verdict if left else effects.Verdict.REJECTED
     )  # what never left is known not to have run
-    assert any(type(one) is (do.SendStop if left else do.Unsend) for one in out)
-    controller.put(on.GivenUp("h1", (launch.number,)))
-    controller.put(on.Unsent("h1", (launch.number,)))
-    assert not any(type(one) in (do.Answer, do.SendLaunch) for one in controller.turn(4.6))
-    controller.put(on.Accepted("h1", on.LaunchId(1, launch.number), "", instead=True))  # it is ended there
-    assert [type(one) for one in controller.turn(4.7)] == [do.SendStop]
+    assert any(type(one) is (effects.SendStop if left else effects.WithholdLaunch) for one in out)
+    controller.put(events.LaunchesCancelled("h1", (launch.number,)))
+    controller.put(events.LaunchesUnsent("h1", (launch.number,)))
+    assert not any(type(one) in (effects.Answer, effects.SendLaunch) for one in controller.step(4.6))
+    controller.put(
+        events.Accepted("h1", events.LaunchId(1, launch.number), "", cancel_withdrawn=True)
+    )  # it is ended there
+    assert [type(one) for one in controller.step(4.7)] == [effects.SendStop]
 
 
 # -- the closing of idle connections
@@ -625,7 +631,7 @@
     second = Bus()
     async with platform_cluster(tmp_path, log, {"h1": Host(), "h2": Host()}) as g:
         await g.tasks.start(second.run)
-        monkeypatch.setattr(inbox, "MOST", 0)  # as full as can be: who waits for room in it waits
+        monkeypatch.setattr(inbox, "MAX_WAITING", 0)  # as full as can be: who waits for room in it waits
         g.bus.publish(g.server_entry("h2", "DRAINING"))
         await g.wait_until(2, lambda: g.service.feed.number == 2)
         second.events = list(g.bus.events)
@@ -667,7 +673,7 @@
     async with platform_cluster(tmp_path, log, {"h1": Host(silent)}) as g:
         owner = await g.client()
         await owner.setup(A, left="600")
-        await g.wait_until(2, lambda: g.service.engine.taken)
+        await g.wait_until(2, lambda: g.service.engine.unanswered)
         (link,) = g.service.owners.links.values()
         send, flush = link.link.send, g.service.owners.flush
 
