--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -6,10 +6,10 @@
 
 from linedeal import interface as api
 from linedeal.engine import Engine
-from linedeal.engine import effects as do
-from linedeal.engine import events as on
+from linedeal.engine import effects
+from linedeal.engine import events
 from linedeal.engine import sessions
-from linedeal.engine.recovery import Account, OldLaunch, OpenJob, Step, next_step
+from linedeal.engine.recovery import HostInventory, OldLaunch, OpenJob, Step, next_step
 from linedeal.interface import Effect
 from linedeal.settings.cluster import parse_cluster
 from linedeal.state import Store, StoreFault
@@ -17,13 +17,13 @@
 from tests.engine_driver import CLUSTER, EngineDriver
 
 JOB = api.Job("c.1.1", "feed", "", "s", 1.0, 1.0, 9.0)
-OLD = OldLaunch(on.LaunchId(1, 1), "a", 5)  # nothing is known of when it was sent
+OLD = OldLaunch(events.LaunchId(1, 1), "a", 5)  # nothing is known of when it was sent
 SENT = replace(OLD, sent_ago=2.0)
 
 
 def account(boot=5, phase=None, forgot=False):
-    held = {OLD.id: on.Held(OLD.id, JOB, phase)} if phase else {}
-    return {"a": Account(boot, held, forgot)}
+    held = {OLD.id: events.HeldLaunch(OLD.id, JOB, phase)} if phase else {}
+    return {"a": HostInventory(boot, held, forgot)}
 
 
 NEVER_RAN, MAY_HAVE = account(), account(boot=6)
@@ -56,10 +56,10 @@
         ((OLD,), {}, "REDOABLE", ("a",), False, False, Step.AGAIN),
         ((OldLaunch(OLD.id, "a", 5, void=True),), {}, "IRREVERSIBLE", (), False, False, Step.AGAIN),
         ((OldLaunch(OLD.id, "a", 5, void=True),), {}, "IRREVERSIBLE", ("a",), False, False, Step.AGAIN),
-        ((OLD,), account(phase=on.Phase.ACCEPTED), "IRREVERSIBLE", (), False, False, Step.PLACED),
-        ((OLD,), account(phase=on.Phase.RUNNING), "REDOABLE", (), False, True, Step.PLACED),
-        ((OLD,), account(phase=on.Phase.OVER), "IRREVERSIBLE", (), False, False, Step.PLACED),
-        ((OLD,), account(phase=on.Phase.QUEUED), "IRREVERSIBLE", (), False, True, Step.WRITE_OFF),
+        ((OLD,), account(phase=events.Phase.ACCEPTED), "IRREVERSIBLE", (), False, False, Step.PLACED),
+        ((OLD,), account(phase=events.Phase.RUNNING), "REDOABLE", (), False, True, Step.PLACED),
+        ((OLD,), account(phase=events.Phase.OVER), "IRREVERSIBLE", (), False, False, Step.PLACED),
+        ((OLD,), account(phase=events.Phase.QUEUED), "IRREVERSIBLE", (), False, True, Step.WRITE_OFF),
     ],
 )
 def test_what_becomes_of_a_job(launches, accounts, effect, lost, over, up, step):
@@ -72,16 +72,16 @@
 
 
 def take(key="k", job=JOB, expires_in=6.0):
-    return do.Take(1, key, job.id, "s", job, expires_in)
+    return effects.AcceptJob(1, key, job.id, "s", job, expires_in)
 
 
 def launch(number=1, job=JOB):
-    return do.SendLaunch("a", number, job, 3.0, 5, True)
+    return effects.SendLaunch("a", number, job, 3.0, 5, True)
 
 
 def test_what_is_written_comes_back(tmp_path):
     journal = Journal(Store(tmp_path))
-    journal.write(100.0, 1, [take(), launch(1), launch(2), do.KeepVoid(on.LaunchId(1, 1))])
+    journal.write(100.0, 1, [take(), launch(1), launch(2), effects.RecordNotRun(events.LaunchId(1, 1))])
     found = journal.read(102.0, 6.0)
     assert found.open == (
         OpenJob(
@@ -90,16 +90,16 @@
             JOB,
             4.0,
             (
-                OldLaunch(on.LaunchId(1, 1), "a", 5, True, 2.0),
-                OldLaunch(on.LaunchId(1, 2), "a", 5, False, 2.0),
+                OldLaunch(events.LaunchId(1, 1), "a", 5, True, 2.0),
+                OldLaunch(events.LaunchId(1, 2), "a", 5, False, 2.0),
             ),
             taken_ago=2.0,
         ),
     )
-    journal.write(102.0, 1, [do.Answer(1, "k", JOB.id, do.Verdict.PLACED, "a", True)])
+    journal.write(102.0, 1, [effects.Answer(1, "k", JOB.id, effects.Verdict.PLACED, "a", True)])
     (kept,) = journal.read(103.0, 6.0).answers
     assert (kept.session, kept.key, kept.job, kept.stage, kept.host) == ("s", "k", JOB, "PLACED", "a")
-    journal.write(104.0, 1, [do.KeepNoMore(JOB.id)])
+    journal.write(104.0, 1, [effects.DeleteRecord(JOB.id)])
     assert journal.read(105.0, 6.0).open == journal.read(105.0, 6.0).answers == ()
 
 
@@ -144,9 +144,9 @@
         jobs += 20
         journal.write(1.0, 1, [take(f"k{n}", replace(JOB, id=f"c.1.{n}")) for n in range(jobs - 20, jobs)])
     assert 0.9 < journal.used() / (1 << 18) < 0.99
-    journal.write(1.0, 1, [do.KeepNoMore(f"c.1.{n}") for n in range(jobs // 20)])
+    journal.write(1.0, 1, [effects.DeleteRecord(f"c.1.{n}") for n in range(jobs // 20)])
     assert journal.look()
-    journal.write(1.0, 1, [do.KeepNoMore(f"c.1.{n}") for n in range(jobs // 2)])
+    journal.write(1.0, 1, [effects.DeleteRecord(f"c.1.{n}") for n in range(jobs // 2)])
     assert not journal.look()
 
 
@@ -165,17 +165,17 @@
     journal = Journal(store)
     d = EngineDriver(life=1)
 
-    def step(effects, now):
-        journal.write(now, d.engine.life, to_keep(effects))
+    def step(emitted, now):
+        journal.write(now, d.engine.life, to_keep(emitted))
 
     for i in range(5):
-        sent = d.step(1.0, on.Submitted(1, f"k{i}", "web", "", "v", 1.0, 1.0, 0.0, "s"))
+        sent = d.step(1.0, events.Submitted(1, f"k{i}", "web", "", "v", 1.0, 1.0, 0.0, "s"))
         step(sent, 1.0)
-        launch = d.of_type(do.SendLaunch, sent)[0]
-        step(d.step(1.1, on.Accepted(launch.host, on.LaunchId(1, launch.number))), 1.1)
+        launch = d.of_type(effects.SendLaunch, sent)[0]
+        step(d.step(1.1, events.Accepted(launch.host, events.LaunchId(1, launch.number))), 1.1)
     rows = "SELECT (SELECT count(*) FROM jobs) + (SELECT count(*) FROM launches)"
     begun = 0.0
-    monkeypatch.setattr(sessions, "KEPT_MOST", most)
+    monkeypatch.setattr(sessions, "MAX_ENDED_JOBS", most)
     if killed_at:
         found = journal.read(killed_at, 6.0)
         d, begun = EngineDriver(life=2), killed_at
@@ -192,44 +192,44 @@
 
 
 def ask(d, now, offering="web", client=1, key="k", session="s", cores=1.0):
-    return d.step(now, on.Submitted(client, key, offering, "", "v", cores, 1.0, 0.0, session))
+    return d.step(now, events.Submitted(client, key, offering, "", "v", cores, 1.0, 0.0, session))
 
 
 def test_a_sessions_job_is_kept_before_it_shows():
     d = EngineDriver()
-    effects = ask(d, 1.0)
-    assert [type(effect) for effect in to_keep(effects)] == [do.Take, do.SendLaunch]
+    emitted = ask(d, 1.0)
+    assert [type(effect) for effect in to_keep(emitted)] == [effects.AcceptJob, effects.SendLaunch]
     assert not to_keep(d.submit(1.0, key="other"))  # without a session nothing is kept
 
 
 def test_the_same_key_joins_and_other_content_is_a_fault():
     d = EngineDriver()
-    first = d.of_type(do.Take, ask(d, 1.0))[0]
+    first = d.of_type(effects.AcceptJob, ask(d, 1.0))[0]
     again = ask(d, 1.1, client=2)
-    assert [(type(e), e.client, getattr(e, "job", "")) for e in again] == [(do.Take, 2, first.job)]
-    assert d.of_type(do.TurnAway, ask(d, 1.2, client=2, cores=2.0))
+    assert [(type(e), e.client, getattr(e, "job", "")) for e in again] == [(effects.AcceptJob, 2, first.job)]
+    assert d.of_type(effects.DeclineJob, ask(d, 1.2, client=2, cores=2.0))
     sent = d.engine.by_job[first.job]
-    answers = d.of_type(do.Answer, d.step(1.3, on.Accepted(sent.host, sent.id)))
-    assert [(answer.client, answer.keep) for answer in answers] == [(2, True)]
+    answers = d.of_type(effects.Answer, d.step(1.3, events.Accepted(sent.host, sent.id)))
+    assert [(answer.client, answer.persist) for answer in answers] == [(2, True)]
 
 
 def test_a_client_that_leaves_finds_its_answer_until_it_has_seen_it():
     d = EngineDriver()
-    job = d.of_type(do.Take, ask(d, 1.0))[0].job
-    assert not d.of_type(do.SendStop, d.step(1.1, on.ClientLeft(1)))
+    job = d.of_type(effects.AcceptJob, ask(d, 1.0))[0].job
+    assert not d.of_type(effects.SendStop, d.step(1.1, events.ClientDisconnected(1)))
     sent = d.engine.by_job[job]
-    d.step(1.2, on.Accepted(sent.host, sent.id))
-    answer = d.of_type(do.Answer, ask(d, 2.0, client=7))[0]
-    assert (answer.client, answer.verdict, answer.job) == (7, do.Verdict.PLACED, job)
-    assert d.step(2.1, on.AnswerSeen("s", "k")) == [do.KeepNoMore(job)]
-    assert d.of_type(do.Take, ask(d, 2.2, client=7))[0].job != job  # confirmed: the key is free
+    d.step(1.2, events.Accepted(sent.host, sent.id))
+    answer = d.of_type(effects.Answer, ask(d, 2.0, client=7))[0]
+    assert (answer.client, answer.verdict, answer.job) == (7, effects.Verdict.PLACED, job)
+    assert d.step(2.1, events.AnswerSeen("s", "k")) == [effects.DeleteRecord(job)]
+    assert d.of_type(effects.AcceptJob, ask(d, 2.2, client=7))[0].job != job  # confirmed: the key is free
 
 
 def test_a_refusal_is_known_to_the_next_life():
     d = EngineDriver()
-    job = d.of_type(do.Take, ask(d, 1.0, "feed"))[0].job
+    job = d.of_type(effects.AcceptJob, ask(d, 1.0, "feed"))[0].job
     sent = d.engine.by_job[job]
-    assert do.KeepVoid(sent.id) in d.step(1.1, on.Refused(sent.host, sent.id, api.Reason.CORES))
+    assert effects.RecordNotRun(sent.id) in d.step(1.1, events.Refused(sent.host, sent.id, api.Reason.CORES))
 
 
 # a kill at every step
@@ -243,7 +243,7 @@
         self.cluster = parse_cluster(CLUSTER.replace('confirms = "accepted"', f'confirms = "{confirms}"'))
         self.confirms = confirms
         self.now, self.life, self.steps, self.boot = 100.0, 0, 0, 1
-        self.held: dict[on.LaunchId, api.Job] = {}
+        self.held: dict[events.LaunchId, api.Job] = {}
         self.runs = 0
         self.ran_at: list[float] = []
         self.answers: list[str] = []
@@ -256,11 +256,14 @@
         self.engine = Engine(self.cluster, "c", self.life, 7, self.now)
         found = self.journal.read(self.now, 6.0)
         self.engine.recover(found.open, found.answers)
-        listed = on.ListedHost("a", ("x",), "std", "z", 0, api.Mode.SERVING, self.boot, 99.0, 10.0, 20.0)
-        held = tuple(on.Held(i, job, on.Phase.RUNNING) for i, job in self.held.items())
-        self.events = [on.ListHeard((listed,), True, 1), on.LinkUp("a", 1, self.boot, 99.0, held)]
+        listed = events.ListedHost("a", ("x",), "std", "z", 0, api.Mode.SERVING, self.boot, 99.0, 10.0, 20.0)
+        held = tuple(events.HeldLaunch(i, job, events.Phase.RUNNING) for i, job in self.held.items())
+        self.events = [
+            events.HostListReceived((listed,), True, 1),
+            events.LinkUp("a", 1, self.boot, 99.0, held),
+        ]
         if not self.answers:
-            self.events.append(on.Submitted(self.life, "k", self.offering, "", "v", 1.0, 1.0, 0.0, "s"))
+            self.events.append(events.Submitted(self.life, "k", self.offering, "", "v", 1.0, 1.0, 0.0, "s"))
 
     def run(self, crash_at=None):
         """Until nothing is owed; False when the step at which to be killed came."""
@@ -269,8 +272,8 @@
             for event in self.events:
                 self.engine.put(event)
             self.events = []
-            effects = self.engine.turn(self.now)
-            keep = to_keep(effects)
+            emitted = self.engine.step(self.now)
+            keep = to_keep(emitted)
             units = (
                 [
                     (
@@ -281,7 +284,7 @@
                 if keep
                 else []
             )
-            units += [(type(effect).__name__, lambda effect=effect: self.carry(effect)) for effect in effects]
+            units += [(type(effect).__name__, lambda effect=effect: self.carry(effect)) for effect in emitted]
             for name, unit in units:
                 if self.steps == crash_at:
                     self.reached.append(name)
@@ -304,16 +307,18 @@
             self.held.clear()
 
     def carry(self, effect):
-        if isinstance(effect, do.SendLaunch):
-            self.events.append(on.Left("a", 1, (effect.number,)))
-            launch_id = on.LaunchId(self.life, effect.number)
+        if isinstance(effect, effects.SendLaunch):
+            self.events.append(events.LaunchesSent("a", 1, (effect.number,)))
+            launch_id = events.LaunchId(self.life, effect.number)
             self.held[launch_id] = effect.job
             self.runs += 1
             self.ran_at.append(self.now)
-            self.events.append((on.Started if self.confirms == "running" else on.Accepted)("a", launch_id))
-        elif isinstance(effect, do.Answer) and effect.client == self.life:
+            self.events.append(
+                (events.Started if self.confirms == "running" else events.Accepted)("a", launch_id)
+            )
+        elif isinstance(effect, effects.Answer) and effect.client == self.life:
             self.answers.append(effect.verdict.value)
-            self.events.append(on.AnswerSeen("s", "k"))
+            self.events.append(events.AnswerSeen("s", "k"))
 
 
 def lives(directory, offering, lost, reborn, confirms, crashes):
@@ -353,12 +358,12 @@
             assert world.answers == ["placed"], told  # nothing is given up that could be known
         crash += 1
     assert {
-        "journal Take+SendLaunch",
+        "journal AcceptJob+SendLaunch",
         "SendLaunch",
-        "Take",
+        "AcceptJob",
         "journal Answer",
         "Answer",
-        "journal KeepNoMore",
+        "journal DeleteRecord",
     } <= reached
 
 
@@ -379,6 +384,6 @@
         if not world.run(crash) and world.runs:
             break  # killed as the launch left
     world.begin()
-    world.events = [event for event in world.events if not isinstance(event, on.LinkUp)]
+    world.events = [event for event in world.events if not isinstance(event, events.LinkUp)]
     world.run()
     assert world.answers == ["written off"] and world.runs == 1
--- a/tests/test_store_and_settings.py
+++ b/tests/test_store_and_settings.py
@@ -10,7 +10,7 @@
 
 from linedeal import interface as api
 from linedeal.cli import app
-from linedeal.engine import effects as do
+from linedeal.engine import effects
 from linedeal.engine.events import ListedHost
 from linedeal.interface import Effect, Mode, TopologyLevel
 from linedeal.lab.day import DayFault, parse_day
@@ -254,7 +254,9 @@
         1.0,
         1,
         [
-            do.Take(1, f"k{n}", f"c.1.{n}", "s", api.Job(f"c.1.{n}", "feed", "", "s", 1.0, 1.0, 9.0), 6.0)
+            effects.AcceptJob(
+                1, f"k{n}", f"c.1.{n}", "s", api.Job(f"c.1.{n}", "feed", "", "s", 1.0, 1.0, 9.0), 6.0
+            )
             for n in range(300)
         ],
     )
@@ -287,7 +289,7 @@
     journal.write(
         first.at(500.0),
         1,
-        [do.Take(1, "k", job.id, "s", job, 60.0), do.SendLaunch("a", 1, job, 3.0, 5, True)],
+        [effects.AcceptJob(1, "k", job.id, "s", job, 60.0), effects.SendLaunch("a", 1, job, 3.0, 5, True)],
     )
     assert journal.last_written() == 10_000.0
     for machine, monotonic, time_of_day, ago in (
