--- a/benchmarks/controller_pace.py
+++ b/benchmarks/controller_pace.py
@@ -20,7 +20,7 @@
 from hdrh.histogram import HdrHistogram
 
 from linedeal import interface as api
-from linedeal.net import Link, LinkLost, TcpNet, parse_address
+from linedeal.net import Link, LinkLostError, TcpNet, parse_address
 from linedeal.policy import Controller
 from linedeal.protocol import FrameReader, encode, pb
 from linedeal.settings.cluster import parse_cluster
@@ -84,7 +84,7 @@
                         if out:
                             async with writing:
                                 await link.send(bytes(out))
-            except* LinkLost:
+            except* LinkLostError:
                 pass
 
         async def finish(link):
--- a/linedeal/client/client.py
+++ b/linedeal/client/client.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from linedeal.net import Address, Link, LinkLost, Net, open_link
+from linedeal.net import Address, Link, LinkLostError, Net, open_link
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 
 VERDICTS = {pb.PLACED: "placed", pb.REJECTED: "rejected", pb.WRITTEN_OFF: "written off"}
@@ -86,7 +86,7 @@
                 encode(pb.Hello(version=VERSION, role=pb.CLIENT, name=name)),
                 within,
             )
-        except LinkLost as error:
+        except LinkLostError as error:
             raise ClientLost(str(error), False) from None
         if isinstance(welcome, pb.Bye):
             await link.close()
@@ -112,13 +112,13 @@
                 waiting = self.waiting.get(getattr(message, "key", ""))
                 if waiting is None:
                     if isinstance(message, pb.Bye):
-                        raise LinkLost(f"told to go: {message.reason}")
+                        raise LinkLostError(f"told to go: {message.reason}")
                 elif isinstance(message, pb.Taken):
                     waiting.taken = message.job
                 else:
                     waiting.result = message
                     waiting.event.set()
-        except LinkLost as error:
+        except LinkLostError as error:
             self.lost = str(error)
             for waiting in self.waiting.values():
                 waiting.event.set()
@@ -140,7 +140,7 @@
         try:
             await self.send(pb.Submit(key=key, job=spec, wait=ask.wait))
             await waiting.event.wait()
-        except LinkLost as error:
+        except LinkLostError as error:
             raise ClientLost(str(error), True) from None  # the job may have got there
         except anyio.get_cancelled_exc_class():
             with anyio.CancelScope(shield=True), anyio.move_on_after(1.0):
@@ -158,7 +158,7 @@
     async def take_back(self, key: str) -> None:
         try:
             await self.send(pb.TakeBack(key=key))
-        except LinkLost:
+        except LinkLostError:
             pass  # leaving takes it back as well
 
     async def send(self, message) -> None:
--- a/linedeal/client/owner.py
+++ b/linedeal/client/owner.py
@@ -22,7 +22,7 @@
 from linedeal.client.client import JobAsk, TurnedAway
 from linedeal.client.contact import Contact
 from linedeal.client.course import Next, State
-from linedeal.net import Address, Link, LinkLost, Net, open_link
+from linedeal.net import Address, Link, LinkLostError, Net, open_link
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 
 OTHERS = 1.0  # seconds, once one controller is heard, for those not reached yet
@@ -407,7 +407,7 @@
         try:
             async with home.writing:
                 await link.send(encode(message))
-        except LinkLost:
+        except LinkLostError:
             pass  # the reading side sees it too, and acts on it
 
     async def keep(self, home: Home) -> None:
@@ -423,7 +423,7 @@
                 while True:
                     for message in await link.receive_all():
                         await self.heard(home, message)
-            except LinkLost as error:
+            except LinkLostError as error:
                 home.why = str(error)
             finally:
                 home.lost_at = anyio.current_time() if home.link else home.lost_at
@@ -453,7 +453,7 @@
         if not isinstance(welcome, pb.Welcome):
             await link.close()
             home.refuses = isinstance(welcome, pb.Bye) and not welcome.retry_after
-            raise LinkLost(getattr(welcome, "reason", "") or "no welcome")
+            raise LinkLostError(getattr(welcome, "reason", "") or "no welcome")
         for offering in welcome.offerings:
             self.effects[offering.name] = offering.redoable
         return link
@@ -473,7 +473,7 @@
                     after = message.key
                     await self.told(home, message)
                 elif isinstance(message, pb.Bye):
-                    raise LinkLost(message.reason)
+                    raise LinkLostError(message.reason)
         home.heard = True
         for job in list(self.courses.values()):
             if job.home is home:
@@ -515,7 +515,7 @@
             case pb.Ordered():
                 self.ordered(home, message)
             case pb.Bye():
-                raise LinkLost(f"told to go: {message.reason}")
+                raise LinkLostError(f"told to go: {message.reason}")
 
     async def told(self, home: Home, message: pb.Standing) -> None:
         job = self.courses.get(message.key)
--- a/linedeal/controller/front.py
+++ b/linedeal/controller/front.py
@@ -11,7 +11,7 @@
 from linedeal.engine import events
 from linedeal.engine.admission import FairShares
 from linedeal.loop import Inbox
-from linedeal.net import Address, Link, LinkLost, Net, until_lost
+from linedeal.net import Address, Link, LinkLostError, Net, run_until_link_lost
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 from linedeal.settings.keys import NotAdmitted, admit
 from linedeal.settings.records import Cluster
@@ -71,7 +71,7 @@
         try:
             await self.greet(client)
             await self.serve(client)
-        except LinkLost as error:
+        except LinkLostError as error:
             why = str(error)
         finally:
             known = self.clients.pop(client.number, None)
@@ -86,29 +86,29 @@
     async def greet(self, client: Client) -> None:
         # guards against connections that say nothing: they cost a file each until their time is up
         if self.strangers >= self.limits.clients:
-            raise LinkLost("too many links that have not said who they are")
+            raise LinkLostError("too many links that have not said who they are")
         self.strangers += 1
         try:
             with anyio.fail_after(self.limits.hello):
                 if self.closing or len(self.clients) >= self.limits.clients:
                     said = "the controller ends" if self.closing else "too many clients"
                     await client.link.send(encode(pb.Bye(reason=said, retry_after=self.limits.retry_after)))
-                    raise LinkLost(said)
+                    raise LinkLostError(said)
                 hello = await client.link.receive()
                 if not isinstance(hello, pb.Hello):
-                    raise LinkLost(f"{type(hello).__name__} in place of a hello")
+                    raise LinkLostError(f"{type(hello).__name__} in place of a hello")
                 try:
                     client.proven = admit(self.keys, hello.customer, hello.token)
                 except NotAdmitted as error:
                     await client.link.send(encode(pb.Bye(reason=str(error))))
-                    raise LinkLost(str(error)) from None
+                    raise LinkLostError(str(error)) from None
                 client.name = hello.name[:80]
                 client.session = owners.qualified(client.proven, hello.session[:SESSION_MOST])
                 if not self.room_for(client):
                     await client.link.send(
                         encode(pb.Bye(reason="too many clients", retry_after=self.limits.retry_after))
                     )
-                    raise LinkLost("too many clients" + " of this customer" * bool(client.proven))
+                    raise LinkLostError("too many clients" + " of this customer" * bool(client.proven))
                 # counted before the welcome leaves: others may say hello meanwhile
                 self.clients[client.number] = client
                 self.links.add(client.proven, 1)
@@ -122,7 +122,7 @@
                     )
                 )
         except TimeoutError:
-            raise LinkLost(f"no hello within {self.limits.hello:g} s") from None
+            raise LinkLostError(f"no hello within {self.limits.hello:g} s") from None
         finally:
             self.strangers -= 1
 
@@ -134,7 +134,7 @@
         return self.links.admits(client.proven, len(self.clients), self.limits.clients)
 
     async def serve(self, client: Client) -> None:
-        await until_lost(self.write(client), self.read(client), self.let_go(client))
+        await run_until_link_lost(self.write(client), self.read(client), self.let_go(client))
 
     async def read(self, client: Client) -> None:
         while True:
@@ -143,13 +143,13 @@
             if idle.cancelled_caught:
                 if client.session or self.owed(client.number):
                     continue  # a session's owner may wait for days, and is told when something happens
-                raise LinkLost(f"idle for {self.limits.client_idle:g} s")
+                raise LinkLostError(f"idle for {self.limits.client_idle:g} s")
             await self.inbox.post(*[self.event(client, message) for message in messages])
 
     def event(self, client: Client, message):
         # guards against a key that does not fit into the answer that names it
         if len(getattr(message, "key", "")) > KEY_MOST or isinstance(message, pb.Submit) and not message.key:
-            raise LinkLost(f"a key of {len(message.key)} characters, 1 to {KEY_MOST} are taken")
+            raise LinkLostError(f"a key of {len(message.key)} characters, 1 to {KEY_MOST} are taken")
         match message:
             case pb.Submit():
                 return translate.submitted(client.number, client.session, client.proven, message)
@@ -165,11 +165,11 @@
                 )
             case pb.AskStanding():
                 return events.StatusRequested(client.number, client.session, message.key, message.after)
-        raise LinkLost(f"a client may not send {type(message).__name__}")
+        raise LinkLostError(f"a client may not send {type(message).__name__}")
 
     async def let_go(self, client: Client) -> None:
         await client.lost.wait()
-        raise LinkLost(
+        raise LinkLostError(
             f"it leaves {client.waiting} bytes unread, over the bound of {self.limits.client_bytes}"
         )
 
--- a/linedeal/controller/hostlink.py
+++ b/linedeal/controller/hostlink.py
@@ -12,7 +12,7 @@
 from linedeal.engine import events
 from linedeal.interface import Mode
 from linedeal.loop import Inbox
-from linedeal.net import Address, Link, LinkLost, Net, open_link, parse_address, until_lost
+from linedeal.net import Address, Link, LinkLostError, Net, open_link, parse_address, run_until_link_lost
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 from linedeal.settings.records import Limits
 
@@ -120,7 +120,7 @@
                 )
                 self.boot = welcome.boot
                 await self.serve(link, number)
-            except LinkLost as error:
+            except LinkLostError as error:
                 why = str(error)
             finally:
                 self.up = False
@@ -142,14 +142,14 @@
         )
 
     async def make(self) -> tuple[Link, pb.Welcome]:
-        """A link that the host has welcomed. Raises LinkLost; no launch has left by then."""
+        """A link that the host has welcomed. Raises LinkLostError; no launch has left by then."""
         why = "it has no address"
         for text in self.listed.addresses:
             try:
                 return await self.greet(parse_address(text))
-            except (ValueError, LinkLost) as error:
+            except (ValueError, LinkLostError) as error:
                 why = f"{text}: {error}"
-        raise LinkLost(why)
+        raise LinkLostError(why)
 
     async def greet(self, address: Address) -> tuple[Link, pb.Welcome]:
         self.next_number = self.next_link()
@@ -171,11 +171,11 @@
         try:
             if isinstance(message, pb.Bye) and message.fenced:
                 await self.inbox.post(events.Fenced(self.listed.id, message.reason[:200]))
-                raise LinkLost("fenced")
+                raise LinkLostError("fenced")
             if not isinstance(message, pb.Welcome):
-                raise LinkLost(f"{type(message).__name__} in place of a welcome")
+                raise LinkLostError(f"{type(message).__name__} in place of a welcome")
             if message.name != self.listed.id:
-                raise LinkLost(
+                raise LinkLostError(
                     f"host {message.name[:80]!r} answers there"
                 )  # an address that was given to another
         except BaseException:
@@ -187,7 +187,7 @@
         self.up = True
         self.heard_at = anyio.current_time()
         self.written_at = 0.0
-        await until_lost(self.write(link, number), self.keep_alive(link), self.read(link))
+        await run_until_link_lost(self.write(link, number), self.keep_alive(link), self.read(link))
 
     async def read(self, link: Link) -> None:
         while True:
@@ -248,11 +248,11 @@
             await anyio.sleep(self.limits.link_silent / 4)
             now = anyio.current_time()
             if len(self.outbox) >= 2 * self.limits.link_queue:
-                raise LinkLost(f"{len(self.outbox)} messages wait for it")
+                raise LinkLostError(f"{len(self.outbox)} messages wait for it")
             if self.written_at <= self.heard_at:
                 continue
             if now - self.written_at > self.limits.link_silent:
-                raise LinkLost(f"nothing heard for {now - self.heard_at:.1f} s")
+                raise LinkLostError(f"nothing heard for {now - self.heard_at:.1f} s")
             if (
                 now - self.written_at > self.limits.link_silent / 2
                 and len(self.outbox) < self.limits.link_queue
--- a/linedeal/controller/translate.py
+++ b/linedeal/controller/translate.py
@@ -6,7 +6,7 @@
 from linedeal.engine import effects
 from linedeal.engine import events
 from linedeal.engine.control import Fault, OrderKind
-from linedeal.net import LinkLost
+from linedeal.net import LinkLostError
 from linedeal.protocol import pb
 
 RESULTS = {
@@ -100,7 +100,7 @@
 def host_said(host: str, message):
     """The event of one message on a host's link; None for one that says nothing to the engine.
 
-    Raises LinkLost for a message that no host may send.
+    Raises LinkLostError for a message that no host may send.
     """
     match message:
         case pb.Accepted():
@@ -135,8 +135,8 @@
         case pb.Bye():
             if message.fenced:
                 return events.Fenced(host, message.reason[:200])
-            raise LinkLost(f"told to go: {message.reason[:200]}")
-    raise LinkLost(f"a host may not send {type(message).__name__}")
+            raise LinkLostError(f"told to go: {message.reason[:200]}")
+    raise LinkLostError(f"a host may not send {type(message).__name__}")
 
 
 def submitted(client: int, session: str, proven: str, message) -> events.Submitted:
--- a/linedeal/controller/watch.py
+++ b/linedeal/controller/watch.py
@@ -5,7 +5,7 @@
 from linedeal.controller import translate
 from linedeal.engine import events
 from linedeal.loop import Inbox
-from linedeal.net import Address, Link, LinkLost, Net, open_link, until_lost
+from linedeal.net import Address, Link, LinkLostError, Net, open_link, run_until_link_lost
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 from linedeal.settings.records import Limits
 
@@ -39,9 +39,9 @@
                     self.limits.watch,
                 )
                 if not isinstance(welcome, pb.Welcome):
-                    raise LinkLost(f"{type(welcome).__name__} in place of a welcome")
+                    raise LinkLostError(f"{type(welcome).__name__} in place of a welcome")
                 await self.serve(link)
-            except LinkLost as error:
+            except LinkLostError as error:
                 why = str(error)
             finally:
                 if link is not None:
@@ -51,7 +51,7 @@
             await self.inbox.post(events.HostListFailed(why))
 
     async def serve(self, link: Link) -> None:
-        await until_lost(self.write(link), self.read(link))
+        await run_until_link_lost(self.write(link), self.read(link))
 
     async def write(self, link: Link) -> None:
         while True:
@@ -61,17 +61,17 @@
             await link.send(encode(pb.Watch(known_version=self.version)), self.limits.watch)
             await anyio.sleep(self.limits.watch)
             if self.asked_at is not None:
-                raise LinkLost(f"a watch was not answered within {self.limits.watch:g} s")
+                raise LinkLostError(f"a watch was not answered within {self.limits.watch:g} s")
 
     async def read(self, link: Link) -> None:
         while True:
             message = await link.receive()
             if isinstance(message, pb.Bye):
-                raise LinkLost(f"told to go: {message.reason[:200]}")
+                raise LinkLostError(f"told to go: {message.reason[:200]}")
             if isinstance(message, pb.ListLost):
-                raise LinkLost(f"discovery: {message.reason[:200]}")
+                raise LinkLostError(f"discovery: {message.reason[:200]}")
             if not isinstance(message, pb.HostList):
-                raise LinkLost(f"discovery may not send {type(message).__name__}")
+                raise LinkLostError(f"discovery may not send {type(message).__name__}")
             if not message.whole and message.since > self.version:
                 self.version = 0  # a change is missing: the next watch asks for the whole
                 self.wanted.set()
--- a/linedeal/fleet/asker.py
+++ b/linedeal/fleet/asker.py
@@ -8,7 +8,7 @@
 
 from linedeal.council.records import Change, Outcome, Value
 from linedeal.fleet.peers import open_to_member
-from linedeal.net import Address, LinkLost, Net
+from linedeal.net import Address, LinkLostError, Net
 from linedeal.protocol import VERSION, encode, pb
 from linedeal.settings.records import CouncilSettings
 
@@ -85,7 +85,7 @@
                 if outcome not in NO_ANSWER:
                     break
                 silent[member] = outcome.value
-            except LinkLost as error:
+            except LinkLostError as error:
                 silent[member] = str(error)
             await anyio.sleep(min(PAUSE, left))
         if self.order[0] != member and member != self.own:  # itself stays last, also where it alone was up
@@ -97,11 +97,11 @@
         """This member and no other; None where it does not answer."""
         try:
             return await self.ask_one(member, said, within)
-        except (LinkLost, CouncilFault):
+        except (LinkLostError, CouncilFault):
             return None
 
     async def ask_one(self, member: str, said: pb.CouncilAsk, within: float) -> pb.CouncilTold:
-        """Raises LinkLost where it does not answer in time, CouncilFault where it refuses."""
+        """Raises LinkLostError where it does not answer in time, CouncilFault where it refuses."""
         link = self.links.get(member)
         if link is None or link.lost:
             link = self.links[member] = MemberLink()
@@ -113,7 +113,7 @@
         if told.outcome == "FAULT":
             raise CouncilFault(f"{member}: {told.body.decode(errors='replace')}")
         if told.outcome not in Outcome.__members__:
-            raise LinkLost(f"an outcome of a later version: {told.outcome[:40]}")
+            raise LinkLostError(f"an outcome of a later version: {told.outcome[:40]}")
         return told
 
 
@@ -144,7 +144,7 @@
                             event.set()
             finally:
                 await self.link.close()
-        except LinkLost as error:
+        except LinkLostError as error:
             self.lost = str(error) or "lost"
         finally:
             self.lost = self.lost or "ended"
@@ -162,7 +162,7 @@
                         await self.link.send(encode(said), within)
                     await event.wait()
             if not got:
-                raise LinkLost(self.lost or f"no answer within {within:g} s")
+                raise LinkLostError(self.lost or f"no answer within {within:g} s")
             return got[0]
         finally:
             del self.waiting[said.number]
--- a/linedeal/fleet/hall.py
+++ b/linedeal/fleet/hall.py
@@ -6,7 +6,7 @@
 import anyio
 
 from linedeal.fleet import codec
-from linedeal.net import Address, FrameError, Link, LinkLost, Net, until_lost
+from linedeal.net import Address, FrameError, Link, LinkLostError, Net, run_until_link_lost
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 from linedeal.settings.keys import council_refuses
 from linedeal.settings.records import CouncilSettings
@@ -53,7 +53,7 @@
                 await self.listen(link, who)
             else:
                 await self.serve(Asker(who, link))
-        except LinkLost as error:
+        except LinkLostError as error:
             if str(error) != "closed by the other side":
                 self.log.warning("council lets go", who=who, reason=str(error))
         finally:
@@ -67,7 +67,7 @@
                     await self.refuse(link, "too many links")
                 hello = await link.receive()
                 if not isinstance(hello, pb.Hello):
-                    raise LinkLost(f"{type(hello).__name__} in place of a hello")
+                    raise LinkLostError(f"{type(hello).__name__} in place of a hello")
                 if why := council_refuses(self.settings, hello.session, hello.token):
                     await self.refuse(link, why)
                 await link.send(
@@ -75,27 +75,27 @@
                 )
                 return hello
         except TimeoutError:
-            raise LinkLost(f"no hello within {HELLO:g} s") from None
+            raise LinkLostError(f"no hello within {HELLO:g} s") from None
 
     async def refuse(self, link: Link, why: str) -> None:
         await link.send(encode(pb.Bye(reason=why)), HELLO)
-        raise LinkLost(why)
+        raise LinkLostError(why)
 
     async def listen(self, link: Link, name: str) -> None:
         while True:
             for message in await link.receive_all():
                 if not isinstance(message, pb.CouncilPacket):
-                    raise LinkLost(f"a member may not send {type(message).__name__}")
+                    raise LinkLostError(f"a member may not send {type(message).__name__}")
                 try:
                     packet = codec.unpacked(message.packet)
                 except FrameError as error:
-                    raise LinkLost(str(error)) from None
+                    raise LinkLostError(str(error)) from None
                 if packet.mark.name != name:
-                    raise LinkLost(f"it said hello as {name} and speaks as {packet.mark.name[:64]}")
+                    raise LinkLostError(f"it said hello as {name} and speaks as {packet.mark.name[:64]}")
                 await self.heard(packet)
 
     async def serve(self, asker: Asker) -> None:
-        await until_lost(self.read(asker), self.write(asker))
+        await run_until_link_lost(self.read(asker), self.write(asker))
 
     async def read(self, asker: Asker) -> None:
         while True:
@@ -103,12 +103,12 @@
                 with anyio.fail_after(IDLE):
                     messages = await asker.link.receive_all()
             except TimeoutError:
-                raise LinkLost(f"idle for {IDLE:g} s") from None
+                raise LinkLostError(f"idle for {IDLE:g} s") from None
             for message in messages:
                 if not isinstance(message, pb.CouncilAsk):
-                    raise LinkLost(f"an asker may not send {type(message).__name__}")
+                    raise LinkLostError(f"an asker may not send {type(message).__name__}")
                 if len(asker.outbox) >= ANSWERS:
-                    raise LinkLost(f"it leaves {ANSWERS} answers unread")
+                    raise LinkLostError(f"it leaves {ANSWERS} answers unread")
                 await self.asked(asker, message)
 
     async def write(self, asker: Asker) -> None:
@@ -119,5 +119,5 @@
                 try:
                     data = encode(asker.outbox.popleft())
                 except FrameError as error:
-                    raise LinkLost(str(error)) from None
+                    raise LinkLostError(str(error)) from None
                 await asker.link.send(data, HELLO)
--- a/linedeal/fleet/orders.py
+++ b/linedeal/fleet/orders.py
@@ -5,7 +5,7 @@
 import anyio
 
 from linedeal.duties.campaigner import Kind, Order, Reply
-from linedeal.net import Address, LinkLost, Net, open_link
+from linedeal.net import Address, LinkLostError, Net, open_link
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 from linedeal.settings.records import CouncilSettings
 
@@ -26,7 +26,7 @@
     async def send(
         self, address: Address, order: Order, duty: str, token: int, within: float
     ) -> Reply | None:
-        """None: no answer came in time; it may have been carried out, and may be still. Raises LinkLost where the other
+        """None: no answer came in time; it may have been carried out, and may be still. Raises LinkLostError where the other
         side refuses to listen."""
         number = next(self.numbers)
         said = pb.DutyOrder(
@@ -42,7 +42,7 @@
             link, welcome = await open_link(self.net, address, FrameReader(), self.hello, within)
             try:
                 if isinstance(welcome, pb.Bye):
-                    raise LinkLost(f"refuses to listen: {welcome.reason[:MOST_WHY]}")
+                    raise LinkLostError(f"refuses to listen: {welcome.reason[:MOST_WHY]}")
                 await link.send(encode(said), within)
                 while True:
                     told = await link.receive()
--- a/linedeal/fleet/peers.py
+++ b/linedeal/fleet/peers.py
@@ -10,7 +10,7 @@
 
 from linedeal.council.records import Packet
 from linedeal.fleet import codec
-from linedeal.net import Address, FrameError, Link, LinkLost, Net, open_link, until_lost
+from linedeal.net import Address, FrameError, Link, LinkLostError, Net, open_link, run_until_link_lost
 from linedeal.protocol import FrameReader, encode, pb
 
 QUEUE = 512  # packets that wait for one peer
@@ -20,11 +20,13 @@
 
 
 async def open_to_member(net: Net, address: Address, hello: bytes, within: float) -> Link:
-    """A link that a member has welcomed. Raises LinkLost, with its reason where it told one; no link is left open."""
+    """A link that a member has welcomed. Raises LinkLostError, with its reason where it told one; no link is left open."""
     link, welcome = await open_link(net, address, FrameReader(), hello, within)
     if not isinstance(welcome, pb.Welcome):
         await link.close()
-        raise LinkLost(getattr(welcome, "reason", "") or f"{type(welcome).__name__} in place of a welcome")
+        raise LinkLostError(
+            getattr(welcome, "reason", "") or f"{type(welcome).__name__} in place of a welcome"
+        )
     return link
 
 
@@ -55,10 +57,10 @@
                 try:
                     self.up, pause = True, AGAIN[0]
                     self.log.info("council link stands", peer=self.name)
-                    await until_lost(self.write(link), self.read(link))
+                    await run_until_link_lost(self.write(link), self.read(link))
                 finally:
                     await link.close()
-            except LinkLost as error:
+            except LinkLostError as error:
                 if self.up or pause >= AGAIN[1]:
                     self.log.warning("council link down", peer=self.name, reason=str(error))
             self.up = False
@@ -75,12 +77,12 @@
                 try:
                     data = encode(pb.CouncilPacket(packet=codec.packed(self.outbox.popleft())))
                 except FrameError as error:
-                    raise LinkLost(str(error)) from None
+                    raise LinkLostError(str(error)) from None
                 await link.send(data, SEND)
 
     async def read(self, link) -> None:
         """The peer says nothing here but goodbye: its packets come on the link that it makes."""
         message = await link.receive()
-        raise LinkLost(
+        raise LinkLostError(
             getattr(message, "reason", "") or f"{type(message).__name__} from a peer that was to listen"
         )
--- a/linedeal/fleet/release.py
+++ b/linedeal/fleet/release.py
@@ -16,7 +16,7 @@
 from linedeal.fleet.asker import Asker
 from linedeal.fleet.hosts import HostsNow
 from linedeal.fleet.orders import Orderer
-from linedeal.net import LinkLost, parse_address
+from linedeal.net import LinkLostError, parse_address
 from linedeal.settings.records import CampaignSettings
 
 CAMPAIGN = "duty/campaign"
@@ -101,7 +101,7 @@
                 if not reply.done and course.troubles.get(order.host) != reply.why:
                     self.log.warning("order refused", host=order.host, kind=order.kind.name, reason=reply.why)
                 course.told(order, reply, anyio.current_time())
-        except LinkLost as error:
+        except LinkLostError as error:
             if course.troubles.get(order.host) != str(error):
                 self.log.warning("order not sent", host=order.host, kind=order.kind.name, reason=str(error))
             course.troubles[order.host] = str(error)
--- a/linedeal/lab/tap.py
+++ b/linedeal/lab/tap.py
@@ -12,7 +12,7 @@
 
 from linedeal.lab.record import Recorder
 from linedeal.net import Address
-from linedeal.net.base import LOST
+from linedeal.net.base import CONNECTION_ERRORS
 from linedeal.protocol import FrameError, FrameReader, pb
 from linedeal.protocol.frames import HEAD
 
@@ -94,7 +94,7 @@
                         break
                     await wake.wait()
                     wake = anyio.Event()
-            except LOST:
+            except CONNECTION_ERRORS:
                 pass  # the other direction's end says the same
             if direction == "<":
                 self.recorder.ended(anyio.current_time(), self.link, direction)
@@ -119,7 +119,7 @@
                 if sum(len(piece) for _, _, piece in chunks) > HELD_MOST:
                     break
                 wake.set()
-        except LOST:
+        except CONNECTION_ERRORS:
             pass  # an end like another
         if (
             direction == ">"
@@ -203,7 +203,7 @@
         async def handle(near):
             try:
                 far = await self.net.connect(to)
-            except LOST:
+            except CONNECTION_ERRORS:
                 await anyio.aclose_forcefully(near)  # nothing listens behind: nothing was passed on
                 return
             await Relay(near, far, name, self.recorder, self.weather).run()
--- a/linedeal/net/__init__.py
+++ b/linedeal/net/__init__.py
@@ -5,26 +5,26 @@
     Capacity,
     FrameError,
     Link,
-    LinkLost,
+    LinkLostError,
     Net,
     NetAttribute,
     open_link,
     parse_address,
 )
 from linedeal.net.tcp import TcpNet
-from linedeal.net.together import read_what_came, until_lost
+from linedeal.net.tasks import read_what_came, run_until_link_lost
 
 __all__ = [
     "Address",
     "Capacity",
     "FrameError",
     "Link",
-    "LinkLost",
+    "LinkLostError",
     "Net",
     "NetAttribute",
     "TcpNet",
     "open_link",
     "parse_address",
     "read_what_came",
-    "until_lost",
+    "run_until_link_lost",
 ]
--- a/linedeal/net/base.py
+++ b/linedeal/net/base.py
@@ -9,7 +9,7 @@
 Address = tuple[str, int]
 
 
-class LinkLost(Exception):
+class LinkLostError(Exception):
     """The other side is gone, or sends what cannot be followed; its text says which."""
 
 
@@ -58,7 +58,7 @@
     ) -> None: ...
 
 
-LOST = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
+CONNECTION_ERRORS = (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
 class Link:
@@ -71,7 +71,7 @@
         self.fault: FrameError | None = None
 
     async def receive(self):
-        """The next message that this version knows. Raises LinkLost when there will be none."""
+        """The next message that this version knows. Raises LinkLostError when there will be none."""
         while True:
             while self.ready:
                 message = self.ready.pop(0)
@@ -90,7 +90,7 @@
 
     async def read(self) -> list:
         if self.fault is not None:
-            raise LinkLost(f"bad frame: {self.fault}")
+            raise LinkLostError(f"bad frame: {self.fault}")
         try:
             data = await self.stream.receive()
             ready = []
@@ -100,16 +100,16 @@
             except FrameError as error:  # what was whole before it counts all the same
                 self.fault = error
                 if not ready:
-                    raise LinkLost(f"bad frame: {error}") from None
+                    raise LinkLostError(f"bad frame: {error}") from None
             return ready
         except anyio.EndOfStream:
             try:
                 self.reader.finish()
             except FrameError as error:
-                raise LinkLost(str(error)) from None
-            raise LinkLost("closed by the other side") from None
-        except LOST as error:
-            raise LinkLost(reason(error)) from None
+                raise LinkLostError(str(error)) from None
+            raise LinkLostError("closed by the other side") from None
+        except CONNECTION_ERRORS as error:
+            raise LinkLostError(reason(error)) from None
 
     async def send(self, data: bytes, within: float = math.inf) -> None:
         """Frames as `protocol.encode` makes them. `within`: seconds for the other side to make room for them; guards
@@ -118,9 +118,9 @@
             with anyio.fail_after(within):
                 await self.stream.send(data)
         except TimeoutError:
-            raise LinkLost(f"it read nothing for {within:g} s") from None
-        except LOST as error:
-            raise LinkLost(reason(error)) from None
+            raise LinkLostError(f"it read nothing for {within:g} s") from None
+        except CONNECTION_ERRORS as error:
+            raise LinkLostError(reason(error)) from None
 
     async def close(self) -> None:
         await close_stream(self.stream)
@@ -134,7 +134,7 @@
 async def open_link(
     net: Net, address: Address, reader: Reader, hello: bytes, within: float
 ) -> tuple[Link, object]:
-    """A link that has said `hello`, and the first message that came back. Raises LinkLost, also when none comes within
+    """A link that has said `hello`, and the first message that came back. Raises LinkLostError, also when none comes within
     so many seconds; no link is left open then."""
     link = None
     try:
@@ -146,9 +146,9 @@
         if link is not None:
             await link.close()
         if isinstance(error, TimeoutError):
-            raise LinkLost(f"no welcome within {within:g} s") from None
-        if isinstance(error, LOST):
-            raise LinkLost(reason(error)) from None
+            raise LinkLostError(f"no welcome within {within:g} s") from None
+        if isinstance(error, CONNECTION_ERRORS):
+            raise LinkLostError(reason(error)) from None
         raise
 
 
--- a/linedeal/net/together.py
+++ b/linedeal/net/tasks.py
@@ -4,21 +4,21 @@
 
 import anyio
 
-from linedeal.net.base import LinkLost
+from linedeal.net.base import LinkLostError
 
 ROUNDS = (
     3  # of the loop: one looks at the sockets, one hands on what came, in one the task that reads it runs
 )
 
 
-async def until_lost(*works: Coroutine) -> None:
-    """Runs all of `works` until one raises LinkLost, ends the others and raises it. Other errors pass as they are."""
-    ended: list[LinkLost] = []
+async def run_until_link_lost(*works: Coroutine) -> None:
+    """Runs all of `works` until one raises LinkLostError, ends the others and raises it. Other errors pass as they are."""
+    ended: list[LinkLostError] = []
 
     async def end_with(work) -> None:
         try:
             await work
-        except LinkLost as error:
+        except LinkLostError as error:
             ended.append(error)
             tasks.cancel_scope.cancel()
 
--- a/linedeal/platform/bus.py
+++ b/linedeal/platform/bus.py
@@ -11,8 +11,8 @@
 
 from linedeal.engine import events
 from linedeal.loop import Inbox
-from linedeal.net import Address, LinkLost, Net
-from linedeal.net.base import LOST, close_stream, reason
+from linedeal.net import Address, LinkLostError, Net
+from linedeal.net.base import CONNECTION_ERRORS, close_stream, reason
 from linedeal.wiresettings import MODES
 
 HOLD = 2.0  # seconds that the bus may hold a call without news
@@ -146,7 +146,7 @@
             with anyio.CancelScope() as self.moved:
                 try:
                     await self.connection()
-                except (LinkLost, BadEvent) as error:
+                except (LinkLostError, BadEvent) as error:
                     self.fails += 1
                     if self.fails == 1:
                         self.log.warning("bus broke off", reason=str(error))
@@ -159,7 +159,7 @@
         return min(PAUSE * self.fails, PAUSE_MOST) * self.random.uniform(1 - JITTER, 1)
 
     async def connection(self) -> None:
-        """Calls on one connection, until it ends. Raises LinkLost or BadEvent."""
+        """Calls on one connection, until it ends. Raises LinkLostError or BadEvent."""
         stream = None
         try:
             with anyio.fail_after(CONNECT):
@@ -177,11 +177,11 @@
                     return
                 http.start_next_cycle()
         except TimeoutError:
-            raise LinkLost("it says nothing") from None
+            raise LinkLostError("it says nothing") from None
         except h11.ProtocolError as error:
-            raise LinkLost(f"no HTTP: {error}") from None
-        except LOST as error:
-            raise LinkLost(reason(error)) from None
+            raise LinkLostError(f"no HTTP: {error}") from None
+        except CONNECTION_ERRORS as error:
+            raise LinkLostError(reason(error)) from None
         finally:
             if stream is not None:
                 await close_stream(stream)
@@ -206,10 +206,10 @@
             elif isinstance(event, h11.Data):
                 body += event.data
                 if len(body) > BODY_MOST:
-                    raise LinkLost(f"an answer of more than {BODY_MOST} bytes")
+                    raise LinkLostError(f"an answer of more than {BODY_MOST} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 if status != 200:
-                    raise LinkLost(f"status {status}")
+                    raise LinkLostError(f"status {status}")
                 return bytes(body)
             elif isinstance(event, h11.ConnectionClosed):
-                raise LinkLost("closed by the other side")
+                raise LinkLostError("closed by the other side")
--- a/linedeal/platform/hostlink.py
+++ b/linedeal/platform/hostlink.py
@@ -12,11 +12,19 @@
 from linedeal.engine import events
 from linedeal.interface import Mode, Reason, Result
 from linedeal.loop import Inbox
-from linedeal.net import FrameError, Link, LinkLost, Net, parse_address, read_what_came, until_lost
-from linedeal.net.base import LOST, reason
-from linedeal.platform import hosts, owners
+from linedeal.net import (
+    FrameError,
+    Link,
+    LinkLostError,
+    Net,
+    parse_address,
+    read_what_came,
+    run_until_link_lost,
+)
+from linedeal.net.base import CONNECTION_ERRORS, reason
+from linedeal.platform import host_codec, owner_codec
 from linedeal.platform.descriptors import Descriptors
-from linedeal.platform.hosts import Code, Type
+from linedeal.platform.host_codec import Code, Type
 from linedeal.settings.records import Limits
 from linedeal.wiresettings import METRICS, REASONS
 
@@ -35,8 +43,14 @@
 IDLE_SHARE = 0.6  # of the idle time after which hosts close, after which we do
 WHY = dict(zip(("nc", "nm", "nq", "nh", "ev", "pre", "dr"), (REASONS[number] for number in range(1, 8))))
 NOTE_NAMES = dict(zip(("live", "c", "m", "s", "p"), (METRICS[number] for number in range(1, 6))))
-FIRST_WORDS = frozenset((owners.REFUSED, owners.NEVER_LEFT, owners.FAILED))  # only ever before an answer
-ENDS = {owners.GIVEN_UP: Result.DONE, owners.ENDED_OTHERWISE: Result.STOPPED, owners.FAILED: Result.ERROR}
+FIRST_WORDS = frozenset(
+    (owner_codec.REFUSED, owner_codec.NEVER_LEFT, owner_codec.FAILED)
+)  # only ever before an answer
+ENDS = {
+    owner_codec.GIVEN_UP: Result.DONE,
+    owner_codec.ENDED_OTHERWISE: Result.STOPPED,
+    owner_codec.FAILED: Result.ERROR,
+}
 
 
 class Connection:
@@ -263,7 +277,7 @@
                 why = "it does not answer"
             except ValueError as error:
                 why = str(error)
-            except LOST as error:
+            except CONNECTION_ERRORS as error:
                 why, refused = reason(error), isinstance(error.__cause__ or error, ConnectionRefusedError)
             finally:
                 if stream is None:
@@ -275,7 +289,7 @@
             return
         now = self.heard_at = anyio.current_time()
         self.refusals, self.reopen = 0, False
-        connection = Connection(self.next_number(), Link(stream, hosts.FrameReader()), now)
+        connection = Connection(self.next_number(), Link(stream, host_codec.FrameReader()), now)
         self.connections.append(connection)
         for task in self.stops:
             connection.queue(released(task))
@@ -302,8 +316,8 @@
 
     async def serve(self, connection: Connection) -> None:
         try:
-            await until_lost(self.write(connection), self.read(connection), self.mind(connection))
-        except LinkLost as error:
+            await run_until_link_lost(self.write(connection), self.read(connection), self.mind(connection))
+        except LinkLostError as error:
             why = str(error)
         except (
             Exception
@@ -364,15 +378,15 @@
             elif isinstance(effect, effects.SendProbe):
                 probe = effect.number.to_bytes(8)
                 connection.probes[probe] = effect.number
-                data += hosts.encode(Type.PING, probe, hosts.parameter(Code.CAUSE, b"\x01"))
+                data += host_codec.encode(Type.PING, probe, host_codec.parameter(Code.CAUSE, b"\x01"))
                 asks = True
             elif self.stale(effect, now):
                 self.hand_back([effect])
             else:
                 connection.unsent.discard(effect.number)
                 numbers.append(effect.number)
-                wait = hosts.parameter(Code.WAIT, b"%d" % ((effect.due - now) * 1000))
-                data += hosts.encode(Type.SETUP, effect.work[:8], effect.work[8:] + wait)
+                wait = host_codec.parameter(Code.WAIT, b"%d" % ((effect.due - now) * 1000))
+                data += host_codec.encode(Type.SETUP, effect.work[:8], effect.work[8:] + wait)
                 asks = True
         if numbers:
             self.inbox.put(events.LaunchesSent(self.listed.id, connection.number, tuple(numbers)))
@@ -410,9 +424,9 @@
                     connection.idle_talk += 1
             await self.inbox.post(*received)
             if fault is not None:
-                raise LinkLost(f"bad frame: {fault}")
+                raise LinkLostError(f"bad frame: {fault}")
             if connection.idle_talk > IDLE_TALK:  # guards against one that takes the loop from all others
-                raise LinkLost(f"{connection.idle_talk} answers on end to nothing that is out")
+                raise LinkLostError(f"{connection.idle_talk} answers on end to nothing that is out")
 
     async def mind(self, connection: Connection) -> None:
         """Ends a connection that is of no more use; what hangs, cut off or spoilt looks like this."""
@@ -422,7 +436,7 @@
             rest = connection.link.reader.rest
             connection.unfinished_at = (connection.unfinished_at or now) if rest else 0.0
             if rest and now - connection.unfinished_at > UNFINISHED:
-                raise LinkLost("a frame that does not end")
+                raise LinkLostError("a frame that does not end")
             if (
                 connection.asked_at
                 and now - connection.asked_at > SILENT * TEST_SHARE
@@ -432,14 +446,14 @@
                 connection.tested = True
                 connection.queue(test())
             if connection.asked_at and now - connection.asked_at > SILENT:
-                raise LinkLost(f"not a word for {SILENT:g} s")
+                raise LinkLostError(f"not a word for {SILENT:g} s")
             if len(connection.outbox) > QUEUE:
-                raise LinkLost(f"{len(connection.outbox)} messages wait for it")
+                raise LinkLostError(f"{len(connection.outbox)} messages wait for it")
             if connection.shut and not connection.out:
-                raise LinkLost("its last launch was not answered")
+                raise LinkLostError("its last launch was not answered")
             last = self.standing and len(self.connections) == 1
             if now - connection.used_at > self.idle * IDLE_SHARE and not connection.out and not self.standing:
-                raise LinkLost(
+                raise LinkLostError(
                     "idle"
                 )  # while jobs stand the host may be about to say on it that one has ended
             if (
@@ -449,7 +463,7 @@
                 and not self.standing
                 and (now - connection.used_at > LOOK)
             ):
-                raise LinkLost("idle, and its descriptor is wanted")
+                raise LinkLostError("idle, and its descriptor is wanted")
             for spent in connection.carried, self.unsettled:
                 for task in [
                     task for task, until in spent.items() if until <= now and task not in connection.out
@@ -461,12 +475,12 @@
 
     # -- what the host says
 
-    def said(self, connection: Connection, frame: hosts.Frame):
+    def said(self, connection: Connection, frame: host_codec.Frame):
         """The engine's event, or None. Raises FrameError."""
         host, task = self.listed.id, frame.task
         if frame.type == Type.NOTE:
             number, what = self.standing.get(task), NOTE_NAMES.get(frame.text(Code.NAME))
-            value = hosts.figure(frame.text(Code.FIGURE)) if what != "started" else 1.0
+            value = host_codec.figure(frame.text(Code.FIGURE)) if what != "started" else 1.0
             if number is None or what is None or value is None:
                 return None
             return events.MetricReported(host, events.LaunchId(LIFE, number), what, value)
@@ -500,10 +514,10 @@
         if frame.type == Type.RELEASE:
             return self.released(connection, frame)
         if frame.type == Type.PING:
-            connection.queue(hosts.encode(Type.PONG, task, hosts.parameter(Code.CAUSE, b"\x01")))
+            connection.queue(host_codec.encode(Type.PONG, task, host_codec.parameter(Code.CAUSE, b"\x01")))
         return None  # second copies, unknown tasks and what means nothing are passed over
 
-    def after_all(self, connection: Connection, frame: hosts.Frame):
+    def after_all(self, connection: Connection, frame: host_codec.Frame):
         """Answered before the word that gives it up was written: that word is taken back. Passed over, the job would
         stand there until it was, and be launched elsewhere as if it never had."""
         task, description = frame.task, frame.text(Code.DESCRIPTION)
@@ -517,23 +531,23 @@
             self.listed.id, events.LaunchId(LIFE, number), description, cancel_withdrawn=True
         )
 
-    def released(self, connection: Connection, frame: hosts.Frame):
+    def released(self, connection: Connection, frame: host_codec.Frame):
         host, task, cause = self.listed.id, frame.task, frame.cause()
         why = WHY.get(frame.text(Code.NAME), Reason.UNTOLD)
         number = connection.out.get(task)
         stale = task in self.unsettled and cause not in FIRST_WORDS
-        if stale and task not in self.stops and (cause == owners.ENDED_OTHERWISE or number is not None):
+        if stale and task not in self.stops and (cause == owner_codec.ENDED_OTHERWISE or number is not None):
             return None  # of the launch before, which it had taken when the word came that gives it up
         if number is not None and number not in connection.unsent:
             del connection.out[task]
             self.tasks_of.pop(number, None)
             launch = events.LaunchId(LIFE, number)
-            if cause == owners.REFUSED:
+            if cause == owner_codec.REFUSED:
                 return events.Refused(host, launch, why)
-            if cause == owners.NEVER_LEFT:
+            if cause == owner_codec.NEVER_LEFT:
                 return events.LaunchesUnsent(host, (number,))
             return events.LaunchEnded(
-                host, launch, Result.ERROR if cause == owners.FAILED else Result.CUT, why
+                host, launch, Result.ERROR if cause == owner_codec.FAILED else Result.CUT, why
             )
         number = self.standing.pop(task, None)
         if number is None:
@@ -544,8 +558,10 @@
 
 
 def test() -> bytes:
-    return hosts.encode(Type.PING, bytes(8), hosts.parameter(Code.CAUSE, b"\x00"))
+    return host_codec.encode(Type.PING, bytes(8), host_codec.parameter(Code.CAUSE, b"\x00"))
 
 
 def released(task: bytes) -> bytes:
-    return hosts.encode(Type.RELEASE, task, hosts.parameter(Code.CAUSE, bytes([owners.GIVEN_UP])))
+    return host_codec.encode(
+        Type.RELEASE, task, host_codec.parameter(Code.CAUSE, bytes([owner_codec.GIVEN_UP]))
+    )
--- a/linedeal/platform/ownerlink.py
+++ b/linedeal/platform/ownerlink.py
@@ -6,10 +6,10 @@
 import anyio
 
 from linedeal.loop import Inbox, Lateness
-from linedeal.net import Address, Link, LinkLost, Net, NetAttribute, read_what_came
+from linedeal.net import Address, Link, LinkLostError, Net, NetAttribute, read_what_came
 from linedeal.platform.descriptors import Descriptors
-from linedeal.platform.owners import Line, LineReader
-from linedeal.platform.route import Heard, Route, Unwelcome
+from linedeal.platform.owner_codec import Line, LineReader
+from linedeal.platform.router import Heard, Route, Unwelcome
 
 TO_SPEAK = 0.5  # seconds for which a new connection is not held to be a silent one
 FIRST_WORD = 2.0  # seconds for a new connection to say something usual, and for a line to end
@@ -143,7 +143,7 @@
             if self.route.outlives(line):
                 try:
                     self.hear(owner, line, came)
-                except LinkLost:
+                except LinkLostError:
                     pass  # it ends in any case
         self.inbox.put(self.route.client_left(owner.number))
         for data, lasting in owner.outbox:
@@ -153,7 +153,7 @@
     async def until_lost(self, owner: OwnerLink, work) -> None:
         try:
             await work(owner)
-        except LinkLost as error:
+        except LinkLostError as error:
             self.let_go(owner, str(error))
         except (
             Exception
@@ -222,12 +222,12 @@
                 await owner.room.wait()
 
     def hear(self, owner: OwnerLink, line: Line, came: float) -> Heard:
-        """Raises LinkLost."""
+        """Raises LinkLostError."""
         try:
             heard = self.route.heard(owner.number, line, anyio.current_time() - came)
         except Unwelcome as error:
             self.counts["closed on"] += 1
-            raise LinkLost(str(error)) from None
+            raise LinkLostError(str(error)) from None
         if heard.reply:
             self.queue(owner, heard.reply)
         if heard.event is not None:
@@ -250,7 +250,7 @@
         owner.bad += 1
         self.counts["refused as read"] += 1
         if owner.bad > BAD_MOST:
-            raise LinkLost(f"{owner.bad} messages that cannot be taken")
+            raise LinkLostError(f"{owner.bad} messages that cannot be taken")
         await anyio.sleep(BAD_PAUSE)
 
     async def mind(self) -> None:
--- a/linedeal/platform/route.py
+++ b/linedeal/platform/router.py
@@ -5,8 +5,8 @@
 from linedeal import interface as api
 from linedeal.engine import effects
 from linedeal.engine import events
-from linedeal.platform import hosts, owners
-from linedeal.platform.hosts import Code
+from linedeal.platform import host_codec, owner_codec
+from linedeal.platform.host_codec import Code
 
 LEFT_LEAST = 0.001  # seconds
 PASSED_OVER = frozenset(("progress", "released", "note", "move", "pong"))
@@ -52,7 +52,7 @@
 
     # -- from owners
 
-    def heard(self, client: int, line: owners.Line, waited: float = 0.0) -> Heard:
+    def heard(self, client: int, line: owner_codec.Line, waited: float = 0.0) -> Heard:
         """`waited`: seconds for which it may have lain unread. Raises Unwelcome."""
         if line.fault:
             return self.refused(line.id)
@@ -61,7 +61,7 @@
         if line.type == "release":
             return self.released(client, line)
         if line.type == "ping":
-            return Heard(reply=owners.pong(line.id, self.ready))
+            return Heard(reply=owner_codec.pong(line.id, self.ready))
         if line.type in PASSED_OVER:
             return Heard(usual=line.id in self.tasks or None)
         return self.refused(line.id)
@@ -71,13 +71,13 @@
             task in self.tasks
         ):  # a refusal would be one of the job that has this id, which may have been launched
             raise Unwelcome("a message that cannot be read has the id of a known task")
-        return Heard(reply=owners.release(task, owners.REFUSED), usual=False)
+        return Heard(reply=owner_codec.release(task, owner_codec.REFUSED), usual=False)
 
-    def setup(self, client: int, line: owners.Line, waited: float) -> Heard:
+    def setup(self, client: int, line: owner_codec.Line, waited: float) -> Heard:
         known = self.tasks.get(line.id)
         try:
-            ask = owners.read_ask(line, self.settings)
-        except owners.BadAsk:
+            ask = owner_codec.read_ask(line, self.settings)
+        except owner_codec.BadAsk:
             return self.refused(line.id)
         if known is not None:
             if known.client == client and not known.stands or known.stands and ask.at:
@@ -114,7 +114,7 @@
             )
         )  # it counts from when it was sent
 
-    def released(self, client: int, line: owners.Line) -> Heard:
+    def released(self, client: int, line: owner_codec.Line) -> Heard:
         task = self.tasks.get(line.id)
         if task is None:
             return Heard(usual=None)  # it may have crossed ours
@@ -126,7 +126,7 @@
         self.drop(task)
         return Heard(events.JobWithdrawn(client, task.id))
 
-    def outlives(self, line: owners.Line) -> bool:
+    def outlives(self, line: owner_codec.Line) -> bool:
         """Whether it counts though the connection that brought it has gone: what is about jobs that stand."""
         if line.type == "setup":
             return "at:" in str(line.fields.get("extras", ""))
@@ -162,7 +162,7 @@
         if task is None or task.client != effect.client:
             return 0, b""
         self.drop(task)
-        return task.client, owners.release(task.id, owners.REFUSED)
+        return task.client, owner_codec.release(task.id, owner_codec.REFUSED)
 
     def answer(self, effect: effects.Answer) -> tuple[int, bytes]:
         task = self.by_job.get(effect.job)
@@ -171,10 +171,10 @@
         if effect.verdict is effects.Verdict.PLACED:
             task.stands = True
             self.answered(task)
-            return task.client, owners.answer(task.id, effect.host_reply)
+            return task.client, owner_codec.answer(task.id, effect.host_reply)
         self.drop(task)
-        cause = owners.REFUSED if effect.verdict is effects.Verdict.REJECTED else owners.FAILED
-        return task.client, owners.release(task.id, cause)
+        cause = owner_codec.REFUSED if effect.verdict is effects.Verdict.REJECTED else owner_codec.FAILED
+        return task.client, owner_codec.release(task.id, cause)
 
     def over(self, effect: effects.NotifyEnded) -> tuple[int, bytes]:
         """What stood has ended: its owner hears of it, unless it was the owner that ended it."""
@@ -184,17 +184,17 @@
         self.drop(task)
         if task.ending or effect.result is api.Result.STOPPED:
             return 0, b""
-        return task.client, owners.release(
-            task.id, owners.GIVEN_UP if effect.result is api.Result.DONE else owners.CUT
+        return task.client, owner_codec.release(
+            task.id, owner_codec.GIVEN_UP if effect.result is api.Result.DONE else owner_codec.CUT
         )
 
 
-def work_of(task: str, ask: owners.Ask, description: str) -> bytes:
+def work_of(task: str, ask: owner_codec.Ask, description: str) -> bytes:
     """What goes to the host unchanged: the id, and the parameters that its owner gave."""
-    parts = [bytes.fromhex(task), hosts.parameter(Code.OFFERING, ask.offering.encode())]
+    parts = [bytes.fromhex(task), host_codec.parameter(Code.OFFERING, ask.offering.encode())]
     if ask.key:
-        parts.append(hosts.parameter(Code.KEY, ask.key.encode()))
+        parts.append(host_codec.parameter(Code.KEY, ask.key.encode()))
     if ask.mark:
-        parts.append(hosts.parameter(Code.MARK, ask.mark.encode()))
-    parts.append(hosts.parameter(Code.DESCRIPTION, description.encode()))
+        parts.append(host_codec.parameter(Code.MARK, ask.mark.encode()))
+    parts.append(host_codec.parameter(Code.DESCRIPTION, description.encode()))
     return b"".join(parts)
--- a/linedeal/platform/service.py
+++ b/linedeal/platform/service.py
@@ -19,7 +19,7 @@
 from linedeal.platform.descriptors import Descriptors
 from linedeal.platform.hostlink import LIFE, HostLink
 from linedeal.platform.ownerlink import Owners
-from linedeal.platform.route import Route
+from linedeal.platform.router import Route
 
 COMING = 0.8  # seconds after SIGTERM for which set-ups still come
 STANDING_MOST = 3.4  # seconds after SIGTERM for which ends of what stands are passed on
--- a/linedeal/standin/discovery.py
+++ b/linedeal/standin/discovery.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from linedeal.net import Address, Link, LinkLost, Net, until_lost
+from linedeal.net import Address, Link, LinkLostError, Net, run_until_link_lost
 from linedeal.protocol import FrameReader, encode, pb
 
 PERIOD = 0.25  # seconds between two versions of the list
@@ -76,7 +76,7 @@
             elif hello.role == pb.CONTROLLER:
                 await link.send(encode(pb.Welcome(version=1, name="discovery")))
                 await self.watched(link)
-        except (LinkLost, TimeoutError):
+        except (LinkLostError, TimeoutError):
             pass  # watchers and hosts come back by themselves
         finally:
             await link.close()
@@ -92,7 +92,9 @@
         watcher = Watcher()
         self.watchers.append(watcher)
         try:
-            await until_lost(self.asked(link, watcher), self.follow(link, watcher), self.until_lost(watcher))
+            await run_until_link_lost(
+                self.asked(link, watcher), self.follow(link, watcher), self.until_lost(watcher)
+            )
         finally:
             self.watchers.remove(watcher)
 
@@ -100,13 +102,13 @@
         while True:
             message = await link.receive()
             if not isinstance(message, pb.Watch):
-                raise LinkLost("not a watch")
+                raise LinkLostError("not a watch")
             watcher.asked = message.known_version
             watcher.wake.set()
 
     async def until_lost(self, watcher: "Watcher") -> None:
         await watcher.lost.wait()
-        raise LinkLost("the subscription was lost")
+        raise LinkLostError("the subscription was lost")
 
     async def follow(self, link: Link, watcher: "Watcher") -> None:
         while True:
--- a/linedeal/standin/host.py
+++ b/linedeal/standin/host.py
@@ -6,8 +6,8 @@
 
 import anyio
 
-from linedeal.net import Address, Link, LinkLost, Net, until_lost
-from linedeal.net.base import LOST
+from linedeal.net import Address, Link, LinkLostError, Net, run_until_link_lost
+from linedeal.net.base import CONNECTION_ERRORS
 from linedeal.protocol import FrameReader, encode, pb
 from linedeal.standin.model import HostModel
 from linedeal.standin.orders import KeptFence, refused, serve_owner
@@ -100,8 +100,8 @@
             if old is not None:
                 old.ended.set()
             peer = self.peers[hello.name] = Peer(link, hello)
-            await until_lost(self.read(peer), self.write(peer), self.until_ended(peer))
-        except (LinkLost, TimeoutError):
+            await run_until_link_lost(self.read(peer), self.write(peer), self.until_ended(peer))
+        except (LinkLostError, TimeoutError):
             pass  # a controller that goes is nothing that a host tells of
         finally:
             if peer is not None and self.peers.get(peer.hello.name) is peer:
@@ -116,11 +116,11 @@
             for message in messages:
                 # fenced: what an earlier link still brings is not taken, or a welcome's account would not hold
                 if not self.model.in_force(hello.name, hello.life, hello.link):
-                    raise LinkLost("fenced")
+                    raise LinkLostError("fenced")
                 now = anyio.current_time()
                 self.model.pass_time(now)
                 if not self.model.take(now, hello.name, message):
-                    raise LinkLost(f"a controller may not send {type(message).__name__}")
+                    raise LinkLostError(f"a controller may not send {type(message).__name__}")
             self.changed.set()
 
     async def clear(self, controller: str) -> None:
@@ -152,7 +152,7 @@
 
     async def until_ended(self, peer: Peer) -> None:
         await peer.ended.wait()
-        raise LinkLost("a later link")
+        raise LinkLostError("a later link")
 
     async def write(self, peer: Peer) -> None:
         while True:
@@ -194,7 +194,7 @@
                     await self.clear("discovery")
                     await link.send(encode(pb.HostList(hosts=[self.entry()])))
                     await anyio.sleep(REPORT_EVERY)
-            except (LinkLost, *LOST):
+            except (LinkLostError, *CONNECTION_ERRORS):
                 await anyio.sleep(REPORT_EVERY)
             finally:
                 if link is not None:
--- a/linedeal/standin/orders.py
+++ b/linedeal/standin/orders.py
@@ -8,7 +8,7 @@
 
 from linedeal.duties.duty import Refusal
 from linedeal.duties.fence import Fence
-from linedeal.net import Link, LinkLost
+from linedeal.net import Link, LinkLostError
 from linedeal.protocol import encode, pb
 from linedeal.settings.keys import council_refuses
 from linedeal.settings.records import CouncilSettings
@@ -62,12 +62,12 @@
     )
     if why:
         await link.send(encode(pb.Bye(reason=why)), HELLO)
-        raise LinkLost(why)
+        raise LinkLostError(why)
     await link.send(encode(pb.Welcome(version=1, name=name)), HELLO)
     while True:
         message = await link.receive()
         if not isinstance(message, pb.DutyOrder):
-            raise LinkLost(f"an owner may not send {type(message).__name__}")
+            raise LinkLostError(f"an owner may not send {type(message).__name__}")
         with anyio.CancelScope(shield=True):  # begun, it is seen through, whoever goes meanwhile
             told = await carry_out(message)
         told.number = message.number
--- a/linedeal/standin/tool.py
+++ b/linedeal/standin/tool.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from linedeal.net import Address, Link, LinkLost, Net
+from linedeal.net import Address, Link, LinkLostError, Net
 from linedeal.protocol import FrameReader, pb
 from linedeal.settings.records import CouncilSettings
 from linedeal.standin.orders import HELLO, FenceFault, KeptFence, refused, serve_owner, write_whole
@@ -44,7 +44,7 @@
                 hello = await link.receive()
             if isinstance(hello, pb.Hello) and hello.role == pb.OWNER:
                 await serve_owner(link, hello, "tool", self.council, self.ordered)
-        except (LinkLost, TimeoutError):
+        except (LinkLostError, TimeoutError):
             pass  # an owner that goes asks again, or its successor does
         finally:
             await link.close()
--- a/tests/platform_fixture.py
+++ b/tests/platform_fixture.py
@@ -9,8 +9,8 @@
 
 from linedeal import interface as api
 from linedeal.net import TcpNet
-from linedeal.platform import config, hosts, owners
-from linedeal.platform.hosts import Code, Type
+from linedeal.platform import config, host_codec, owner_codec
+from linedeal.platform.host_codec import Code, Type
 from linedeal.platform.service import Service
 
 SETUP = {
@@ -83,7 +83,7 @@
 
     def __init__(self, script=None):
         self.script = script
-        self.frames: list[hosts.Frame] = []
+        self.frames: list[host_codec.Frame] = []
         self.streams: list[anyio.abc.SocketStream] = []
         self.running: set[bytes] = set()
         self.scope = anyio.CancelScope()
@@ -105,7 +105,7 @@
 
     async def handle(self, stream):
         self.streams.append(stream)
-        reader = hosts.FrameReader()
+        reader = host_codec.FrameReader()
         try:
             while True:
                 for frame in reader.feed(await stream.receive()):
@@ -121,11 +121,11 @@
             await stream.send(answer(frame.task))
         elif frame.type == Type.PING:
             await stream.send(
-                hosts.encode(
+                host_codec.encode(
                     Type.PONG,
                     frame.task,
-                    hosts.parameter(Code.CAUSE, b"\x01")
-                    + hosts.parameter(Code.REPORT, b"x0:36;x1:80;queue:0"),
+                    host_codec.parameter(Code.CAUSE, b"\x01")
+                    + host_codec.parameter(Code.REPORT, b"x0:36;x1:80;queue:0"),
                 )
             )
         elif frame.type == Type.RELEASE and frame.task in self.running:
@@ -137,12 +137,12 @@
 
 
 def answer(task, description=SDP + "host\r\n"):
-    return hosts.encode(Type.ANSWER, task, hosts.parameter(Code.DESCRIPTION, description.encode()))
+    return host_codec.encode(Type.ANSWER, task, host_codec.parameter(Code.DESCRIPTION, description.encode()))
 
 
 def release(task, cause, note=None):
-    named = hosts.parameter(Code.NAME, note.encode()) if note else b""
-    return hosts.encode(Type.RELEASE, task, hosts.parameter(Code.CAUSE, bytes([cause])) + named)
+    named = host_codec.parameter(Code.NAME, note.encode()) if note else b""
+    return host_codec.encode(Type.RELEASE, task, host_codec.parameter(Code.CAUSE, bytes([cause])) + named)
 
 
 class Bus:
@@ -197,7 +197,7 @@
         self.one = anyio.Lock()
 
     async def read(self):
-        reader = owners.LineReader()
+        reader = owner_codec.LineReader()
         try:
             while True:
                 for line in reader.feed(await self.stream.receive()):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -16,8 +16,8 @@
 from linedeal.lab import play
 from linedeal.lab.day import parse_day
 from linedeal.lab.inprocess import Stallable
-from linedeal.net import LinkLost, TcpNet, open_link
-from linedeal.net.base import LOST
+from linedeal.net import LinkLostError, TcpNet, open_link
+from linedeal.net.base import CONNECTION_ERRORS
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 from linedeal.settings.cluster import parse_cluster
 from linedeal.settings.keys import hash_of
@@ -310,7 +310,7 @@
             try:
                 await flood(link, ROGUES[rogue]())
                 await anyio.sleep(3.0)
-            except LinkLost:
+            except LinkLostError:
                 pass
             await link.close()
 
@@ -418,7 +418,7 @@
             with anyio.move_on_after(0.05):
                 try:
                     await stream.receive()
-                except LOST:
+                except CONNECTION_ERRORS:
                     ended += 1
         for stream in streams:
             await stream.aclose()
@@ -686,7 +686,7 @@
         for stream in streams:
             try:
                 await stream.send(encode(pb.Hello(version=VERSION, role=pb.CLIENT, name="x")))
-            except LOST:
+            except CONNECTION_ERRORS:
                 pass
         await anyio.sleep(0.5)
         return len(known), len(ground.servers["c1"].front.clients), judged(ground, day)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,7 +20,7 @@
 from linedeal.lab.play import QUIET
 from linedeal.lab.processes import Processes
 from linedeal.lab.trial import CLUSTER
-from linedeal.net import LinkLost, TcpNet
+from linedeal.net import LinkLostError, TcpNet
 from linedeal.protocol import pb
 from linedeal.settings.cluster import read_cluster
 from linedeal.settings.records import CouncilSettings
@@ -144,7 +144,7 @@
             async def ask_one(member, said, within):
                 asked.append(member)
                 if member not in up:
-                    raise LinkLost("not up yet")
+                    raise LinkLostError("not up yet")
                 return pb.CouncilTold(outcome="READ")
 
             asker.ask_one = ask_one
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from linedeal.net import Link, LinkLost
+from linedeal.net import Link, LinkLostError
 from linedeal.net.memory import pipe
 from linedeal.protocol import FrameError, FrameReader, encode, frames, pb
 
@@ -113,7 +113,7 @@
         try:
             while True:
                 got += await link.receive_all()
-        except LinkLost as error:
+        except LinkLostError as error:
             assert "\n" not in str(error)
         assert not good_first or got[0].number == 5
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -16,7 +16,7 @@
 from linedeal.controller.runtime import Halted, Runtime, Setup
 from linedeal.engine import effects
 from linedeal.engine import events
-from linedeal.net import Link, LinkLost, TcpNet
+from linedeal.net import Link, LinkLostError, TcpNet
 from linedeal.processes import unwrap
 from linedeal.protocol import FrameReader, encode, frames, pb
 from linedeal.settings.cluster import parse_cluster
@@ -144,7 +144,7 @@
             hello = await link.receive()
             if hello.role == pb.CONTROLLER:
                 await script(link, hello)
-        except LinkLost:
+        except LinkLostError:
             pass
         finally:
             await link.close()
@@ -423,7 +423,7 @@
             await link.send(encode(pb.Welcome(version=1, name="a", boot=2, age=0.1)))
             while True:
                 offers.append(await offered(link))
-        except LinkLost:
+        except LinkLostError:
             pass
 
     await cluster.tasks.start(cluster.net.serve, address, handle)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -12,8 +12,8 @@
 import pytest
 
 from linedeal.net import TcpNet
-from linedeal.platform import config, hostlink, hosts, service
-from linedeal.platform.hosts import Code, Type
+from linedeal.platform import config, hostlink, host_codec, service
+from linedeal.platform.host_codec import Code, Type
 from linedeal.platform.log import Log
 from tests.platform_fixture import (
     SDP,
@@ -91,10 +91,11 @@
         assert 0 < int(frame.text(Code.WAIT)) <= 3000
         for name, figure in (("live", ""), ("c", "0.25"), ("m", "1.5"), ("s", "nan"), ("zz", "1")):
             await host.streams[0].send(
-                hosts.encode(
+                host_codec.encode(
                     Type.NOTE,
                     frame.task,
-                    hosts.parameter(Code.NAME, name.encode()) + hosts.parameter(Code.FIGURE, figure.encode()),
+                    host_codec.parameter(Code.NAME, name.encode())
+                    + host_codec.parameter(Code.FIGURE, figure.encode()),
                 )
             )
         (track,) = g.service.engine.module.hosts["h1"].jobs.values()
@@ -221,7 +222,7 @@
         ("feed", says(lambda task: release(task, 41)), 47, 1),
         ("feed", resets, 47, 1),
         ("feed", says(b"\xff" * 40), 47, 1),
-        ("feed", says(lambda task: hosts.encode(Type.ANSWER, task)), 47, 1),  # no description
+        ("feed", says(lambda task: host_codec.encode(Type.ANSWER, task)), 47, 1),  # no description
         ("feed", silent(Type.SETUP), 47, 1),
         ("web", resets, "answer", 2),
         ("web", says(b"\xff" * 40), "answer", 2),
@@ -641,7 +642,9 @@
         if frame.type in (Type.SETUP, Type.RELEASE):
             seen.append((frame.type, host))
             if len(seen) == 1:
-                await stream.send(hosts.encode(Type.PROGRESS, frame.task))  # heard, so the connection is kept
+                await stream.send(
+                    host_codec.encode(Type.PROGRESS, frame.task)
+                )  # heard, so the connection is kept
             return len(seen) == 1
 
     async with platform_cluster(tmp_path, log, {"h1": Host(noted), "h2": Host(noted)}) as g:
@@ -673,7 +676,7 @@
         await g.wait_until(2, lambda: host.received(Type.SETUP))
         (connection,) = g.service.hosts["h1"].connections
         slowed(connection.link, 30, lambda data: data[2] == Type.PING)
-        connection.queue(hosts.encode(Type.PING, bytes(8), hosts.parameter(Code.CAUSE, b"\x00")))
+        connection.queue(host_codec.encode(Type.PING, bytes(8), host_codec.parameter(Code.CAUSE, b"\x00")))
         await g.wait_until(4, lambda: connection.recalled)
         await host.streams[0].send(answer(bytes.fromhex(A)))
         await owner.wait_for("answer", A)
--- a/tests/test_platform_codecs.py
+++ b/tests/test_platform_codecs.py
@@ -8,8 +8,8 @@
 
 from linedeal.interface import Mode
 from linedeal.net import FrameError
-from linedeal.platform import bus, hosts, owners
-from linedeal.platform.hosts import Code, Type
+from linedeal.platform import bus, host_codec, owner_codec
+from linedeal.platform.host_codec import Code, Type
 from tests.platform_fixture import SETTINGS
 
 ID = "9b1f03aa5c7e2d41"
@@ -28,8 +28,8 @@
 CUTS = st.lists(st.integers(0, 1 << 16), max_size=12)
 FRAMES = st.lists(
     st.builds(
-        hosts.Frame,
-        st.sampled_from(sorted(hosts.TYPES)),
+        host_codec.Frame,
+        st.sampled_from(sorted(host_codec.TYPES)),
         st.binary(min_size=8, max_size=8),
         st.lists(st.tuples(st.integers(0, 255), st.binary(max_size=50)), max_size=4).map(tuple),
     ),
@@ -40,9 +40,10 @@
 @given(FRAMES, CUTS)
 def test_frames_come_out_as_they_went_in_however_they_are_cut(frames, cuts):
     data = b"".join(
-        hosts.encode(f.type, f.task, b"".join(hosts.parameter(*p) for p in f.parameters)) for f in frames
+        host_codec.encode(f.type, f.task, b"".join(host_codec.parameter(*p) for p in f.parameters))
+        for f in frames
     )
-    reader = hosts.FrameReader()
+    reader = host_codec.FrameReader()
     assert fed(reader, pieces(data, cuts)) == frames
     reader.finish()
 
@@ -67,7 +68,7 @@
 @given(LINES, CUTS)
 def test_lines_come_out_as_they_went_in_however_they_are_cut(lines, cuts):
     data = b"".join(json.dumps(line).encode() + b"\n" for line in lines)
-    reader = owners.LineReader()
+    reader = owner_codec.LineReader()
     got = fed(reader, pieces(data, cuts))
     assert [{"type": g.type, "id": g.id, "fields": g.fields, "sdp": g.sdp} for g in got] == lines
     assert not any(line.fault for line in got) and not reader.rest
@@ -76,17 +77,17 @@
 @settings(max_examples=300)
 @given(st.binary(max_size=300), CUTS)
 def test_noise_is_an_error_of_the_codec_and_nothing_else(noise, cuts):
-    for reader in (hosts.FrameReader(), owners.LineReader()):
+    for reader in (host_codec.FrameReader(), owner_codec.LineReader()):
         try:
             fed(reader, pieces(noise + b"\n", cuts))
         except FrameError:
             pass
-        assert len(reader.rest) <= owners.MOST + 2
+        assert len(reader.rest) <= owner_codec.MOST + 2
 
 
 @given(TEXT.filter(bool))
 def test_a_description_reaches_the_owner_byte_for_byte(text):
-    (line,) = owners.LineReader().feed(owners.answer(ID, text))
+    (line,) = owner_codec.LineReader().feed(owner_codec.answer(ID, text))
     assert (line.type, line.id, line.sdp) == ("answer", ID, text)
 
 
@@ -102,17 +103,17 @@
 )  # parameters cut off
 def test_a_frame_that_cannot_be_followed_ends_the_stream(data):
     with pytest.raises(FrameError):
-        fed(hosts.FrameReader(), [data])
+        fed(host_codec.FrameReader(), [data])
 
 
 def test_frames_and_lines_over_the_bound_are_not_waited_for():
     # guards against what never ends: it is refused as soon as its length is known, not once it is there
     with pytest.raises(FrameError, match="bytes"):
-        fed(hosts.FrameReader(), [(hosts.MOST + 1).to_bytes(2) + b"\x09" + bytes(8)])
-    reader = owners.LineReader()
+        fed(host_codec.FrameReader(), [(host_codec.MOST + 1).to_bytes(2) + b"\x09" + bytes(8)])
+    reader = owner_codec.LineReader()
     with pytest.raises(FrameError, match="more than"):
         fed(reader, [b"x" * 1000] * 17)
-    assert len(reader.rest) <= owners.MOST + 1000
+    assert len(reader.rest) <= owner_codec.MOST + 1000
 
 
 @pytest.mark.parametrize(
@@ -133,7 +134,7 @@
 )
 def test_a_line_without_an_id_closes(data):
     with pytest.raises(FrameError):
-        fed(owners.LineReader(), [data + b"\n"])
+        fed(owner_codec.LineReader(), [data + b"\n"])
 
 
 @pytest.mark.parametrize(
@@ -148,14 +149,14 @@
     ],
 )
 def test_a_line_with_an_id_that_is_no_message_can_be_refused(rest):
-    (line,) = fed(owners.LineReader(), [b'{"id":"%s",%s}\n' % (ID.encode(), rest.encode())])
+    (line,) = fed(owner_codec.LineReader(), [b'{"id":"%s",%s}\n' % (ID.encode(), rest.encode())])
     assert line.id == ID and line.fault
 
 
 def ask(extras="cores:1;memory:2;service:s", **fields):
     fields = {"class": "web", "tenant": "acme", "left": "1500", "extras": extras} | fields
-    return owners.read_ask(
-        owners.Line("setup", ID, {k: v for k, v in fields.items() if v is not None}, sdp="d"), SETTINGS
+    return owner_codec.read_ask(
+        owner_codec.Line("setup", ID, {k: v for k, v in fields.items() if v is not None}, sdp="d"), SETTINGS
     )
 
 
@@ -192,19 +193,19 @@
     ],
 )
 def test_figures_and_names_out_of_range_are_refused(fields):
-    with pytest.raises(owners.BadAsk):
+    with pytest.raises(owner_codec.BadAsk):
         ask(**fields)
 
 
 def test_a_spoilt_text_or_cause_is_no_answer():
     with pytest.raises(FrameError):
-        hosts.Frame(Type.ANSWER, bytes(8), ((Code.DESCRIPTION, b"\xff"),)).text(Code.DESCRIPTION)
+        host_codec.Frame(Type.ANSWER, bytes(8), ((Code.DESCRIPTION, b"\xff"),)).text(Code.DESCRIPTION)
     with pytest.raises(FrameError):
-        hosts.Frame(Type.RELEASE, bytes(8), ((Code.CAUSE, b"12"),)).cause()
+        host_codec.Frame(Type.RELEASE, bytes(8), ((Code.CAUSE, b"12"),)).cause()
 
 
 def test_a_report_without_figures_is_empty():
-    frame = hosts.Frame(Type.PONG, bytes(8), ((Code.REPORT, b"x0:nan;x1:4;queue:;z:1e999;x2:inf"),))
+    frame = host_codec.Frame(Type.PONG, bytes(8), ((Code.REPORT, b"x0:nan;x1:4;queue:;z:1e999;x2:inf"),))
     assert frame.pairs(Code.REPORT) == {"x1": 4.0}
 
 
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -24,7 +24,7 @@
 from linedeal.net import Link, TcpNet
 from linedeal.platform import bus, hostlink, service
 from linedeal.platform.descriptors import Descriptors
-from linedeal.platform.hosts import Type
+from linedeal.platform.host_codec import Type
 from linedeal.platform.log import Log
 from tests.platform_fixture import (
     SDP,
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -11,7 +11,7 @@
 import pytest
 
 from linedeal.net import TcpNet
-from linedeal.platform.hosts import Type
+from linedeal.platform.host_codec import Type
 from tests.platform_fixture import SETUP, Bus, OwnerClient, Host, release
 from tests.platform_processes import Processes
 
