--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -27,7 +27,7 @@
 from linedeal.standin.discovery import Discovery
 from linedeal.standin.host import HostServer
 from linedeal.standin.model import Copy, Habits, HostModel
-from linedeal.state import Store, steady
+from linedeal.state import Store, journal_clock
 from linedeal.state.journal import Journal
 
 CLUSTER = """
@@ -53,10 +53,12 @@
     """A journal as a life 1 with so many jobs would leave it; what each host holds, and the bytes it takes."""
     store = Store(directory)
     store.next_life()
-    journal = Journal(store, spare=1 << 16)
-    clock = steady.go_on(None, steady.this_machine(), steady.monotonic(), time.time(), 0.0)
-    store.keep_clock(clock.base)
-    at, held = clock.at(steady.monotonic()), {f"h{n:02}": [] for n in range(hosts)}
+    journal = Journal(store, reserve_bytes=1 << 16)
+    clock = journal_clock.resume(
+        None, journal_clock.current_boot_id(), journal_clock.monotonic(), time.time(), 0.0
+    )
+    store.save_clock(clock.base)
+    at, held = clock.at(journal_clock.monotonic()), {f"h{n:02}": [] for n in range(hosts)}
     before = (directory / "controller.db").stat().st_size
     for begin in range(0, jobs, 100):
         emitted = []
--- a/linedeal/cli.py
+++ b/linedeal/cli.py
@@ -72,18 +72,18 @@
     if isinstance(error, Fault):
         return error.status
     # only now: most commands need none of these packages, and loading all takes longer than the command
-    from linedeal.controller.runtime import Halted
+    from linedeal.controller.runtime import HaltedError
     from linedeal.lab.day import DayFault
     from linedeal.lab.processes import ProcessFault
     from linedeal.lab.record import BadRecord
-    from linedeal.settings.cluster import ConfigFault
+    from linedeal.settings.cluster import ConfigError
     from linedeal.standin.orders import FenceFault
-    from linedeal.state import StoreFault
+    from linedeal.state import StoreError
 
     statuses = (
-        ((ConfigFault, DayFault, BadRecord), 1),
-        ((StoreFault, ProcessFault, FenceFault, OSError), 3),
-        (Halted, 4),
+        ((ConfigError, DayFault, BadRecord), 1),
+        ((StoreError, ProcessFault, FenceFault, OSError), 3),
+        (HaltedError, 4),
     )
     return next((status for kinds, status in statuses if isinstance(error, kinds)), None)
 
@@ -125,12 +125,12 @@
 @app.command("check-config", epilog="Example: linedeal check-config examples/cluster.hcl")
 def check_config(file: str, as_json: Json = False):
     """Names every fault of a cluster file, a line each; says nothing is wrong otherwise."""
-    from linedeal.settings.cluster import ConfigFault, read_cluster
+    from linedeal.settings.cluster import ConfigError, read_cluster
 
     try:
         cluster = read_cluster(file)
         faults = []
-    except ConfigFault as error:
+    except ConfigError as error:
         faults = error.lines
     if as_json:
         print(json.dumps({"file": file, "faults": faults}))
@@ -206,9 +206,9 @@
                 tasks.cancel_scope.cancel()
 
             tasks.start_soon(serve)
-            tasks.start_soon(processes.until_told, runtime.leave)
+            tasks.start_soon(processes.stop_on_signal, runtime.shut_down)
             if control:
-                await processes.take_orders(clock_order, runtime.log)
+                await processes.read_orders(clock_order, runtime.log)
                 tasks.cancel_scope.cancel()
 
     run(work, backend=backend, clock=clock)
@@ -231,7 +231,7 @@
     """Stands where anyio wants a task's status: tells the address on standard output."""
 
     def started(self, address=None):
-        processes.tell_address(address)
+        processes.print_address(address)
 
 
 async def serve_stand_in(server, listen, control: bool, log) -> None:
@@ -244,9 +244,9 @@
             tasks.cancel_scope.cancel()
 
         tasks.start_soon(serve)
-        tasks.start_soon(processes.until_told, tasks.cancel_scope.cancel)
+        tasks.start_soon(processes.stop_on_signal, tasks.cancel_scope.cancel)
         if control:
-            await processes.take_orders(server.control, log)
+            await processes.read_orders(server.control, log)
             tasks.cancel_scope.cancel()
 
 
@@ -416,10 +416,10 @@
                 else:
                     server.control(order)
 
-            processes.tell_address(("tap", 0))
-            tasks.start_soon(processes.until_told, tasks.cancel_scope.cancel)
+            processes.print_address(("tap", 0))
+            tasks.start_soon(processes.stop_on_signal, tasks.cancel_scope.cancel)
             if control:
-                await processes.take_orders(order, log)
+                await processes.read_orders(order, log)
                 tasks.cancel_scope.cancel()
         server.recorder.flush()
 
--- a/linedeal/controller/front.py
+++ b/linedeal/controller/client_listener.py
@@ -13,7 +13,7 @@
 from linedeal.loop import Inbox
 from linedeal.net import Address, Link, LinkLostError, Net, run_until_link_lost
 from linedeal.protocol import VERSION, FrameReader, encode, pb
-from linedeal.settings.keys import NotAdmitted, admit
+from linedeal.settings.keys import AuthenticationError, admit
 from linedeal.settings.records import Cluster
 
 SESSION_MOST = 200  # characters of a session's name
@@ -33,7 +33,7 @@
     lost: anyio.Event = field(default_factory=anyio.Event)
 
 
-class Front:
+class ClientListener:
     def __init__(
         self, controller: str, net: Net, cluster: Cluster, inbox: Inbox, log, owed: Callable[[int], bool]
     ):
@@ -56,7 +56,7 @@
         client = self.clients.get(number)
         if client is None:
             return
-        data = encode(translate.to_client(effect))
+        data = encode(translate.message_for_client(effect))
         client.outbox.append(data)
         client.waiting += len(data)
         if client.waiting > self.limits.client_bytes:
@@ -99,7 +99,7 @@
                     raise LinkLostError(f"{type(hello).__name__} in place of a hello")
                 try:
                     client.proven = admit(self.keys, hello.customer, hello.token)
-                except NotAdmitted as error:
+                except AuthenticationError as error:
                     await client.link.send(encode(pb.Bye(reason=str(error))))
                     raise LinkLostError(str(error)) from None
                 client.name = hello.name[:80]
--- a/linedeal/controller/runtime.py
+++ b/linedeal/controller/runtime.py
@@ -7,7 +7,7 @@
 import anyio
 import anyio.to_thread
 
-from linedeal.controller.front import Front
+from linedeal.controller.client_listener import ClientListener
 from linedeal.controller.hostlink import HostLink
 from linedeal.controller.watch import DiscoveryWatch
 from linedeal.engine import Engine
@@ -18,8 +18,8 @@
 from linedeal.net import Address, Net
 from linedeal.policy import Controller
 from linedeal.settings.records import Cluster
-from linedeal.state import Store, StoreFault, steady
-from linedeal.state.journal import FULL_AT, Journal, to_keep
+from linedeal.state import Store, StoreError, journal_clock
+from linedeal.state.journal import FULL_AT, Journal, effects_to_persist
 
 KEEP_EVERY = 1.0  # seconds between two writes of the list
 ROOM_EVERY = 1.0  # seconds between two looks at the journal's room
@@ -27,7 +27,7 @@
 LEAVE_DUTIES = 1.0  # seconds for the council to hear, at the end, that duties are given up
 
 
-class Halted(Exception):
+class HaltedError(Exception):
     """This life has to end; its text says why."""
 
 
@@ -50,10 +50,14 @@
         self.life = store.next_life()  # on disk before anything of this life can be sent
         kept = setup.cluster.journal
         self.journal = Journal(store, kept.power, kept.most, kept.spare)
-        self.clock = steady.go_on(
-            store.clock(), steady.this_machine(), steady.monotonic(), time.time(), self.journal.last_written()
+        self.clock = journal_clock.resume(
+            store.load_clock(),
+            journal_clock.current_boot_id(),
+            journal_clock.monotonic(),
+            time.time(),
+            self.journal.last_written(),
         )
-        store.keep_clock(self.clock.base)
+        store.save_clock(self.clock.base)
         self.disk = anyio.Lock()  # one connection: one transaction at a time
         self.log = log.bind(controller=setup.name, life=self.life)
         self.policy = policy
@@ -64,14 +68,14 @@
         self.office = None  # its part in the fleet's duties, where there is a council
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
-        """Runs until `leave` is called or the life has to end (Halted). Tells the address that clients may use."""
+        """Runs until `shut_down` is called or the life has to end (HaltedError). Tells the address that clients may use."""
         now = anyio.current_time()
         self.engine = Engine(
             self.setup.cluster, self.setup.name, self.life, self.setup.seed + self.life, now, self.policy
         )
         self.inbox = Inbox(self.engine.put)
         self.stepper = EngineStepper(self.engine, self.inbox, self.setup.cluster.limits.tick)
-        self.front = Front(
+        self.client_listener = ClientListener(
             self.setup.name,
             self.net,
             self.setup.cluster,
@@ -100,7 +104,7 @@
             self.tasks.start_soon(self.tell)
             self.tasks.start_soon(self.watch_room)
             self.begin_fleet()
-            address = await self.tasks.start(self.front.run, self.setup.listen)
+            address = await self.tasks.start(self.client_listener.run, self.setup.listen)
             self.log.info("takes jobs", address=f"{address[0]}:{address[1]}")
             task_status.started(address)
             await self.turn_until_left()
@@ -175,20 +179,20 @@
             {
                 "held": len(self.engine.unanswered),
                 "waiting": len(self.engine.module.waiting),
-                "clients": len(self.front.clients),
+                "clients": len(self.client_listener.clients),
                 "links": sum(link.up for link in self.links.values()),
                 "hosts": len(self.links),
             },
         )
 
-    def leave(self) -> None:
+    def shut_down(self) -> None:
         """Take nothing new, answer what is held, and end; at the latest after `limits.leave` seconds."""
-        self.front.closing = True
+        self.client_listener.closing = True
         self.leaving.set()
         self.inbox.arrived.set()
 
     def remember(self) -> None:
-        version, hosts = self.store.last_list(self.journal_time())
+        version, hosts = self.store.load_host_list(self.journal_time())
         if hosts:
             self.log.info("starts from the list kept last", hosts=len(hosts), version=version)
             self.engine.put(events.HostListReceived(hosts, True, version, remembered=True))
@@ -202,7 +206,7 @@
             self.log.info("journal read", owed=len(found.open), answers=len(found.answers))
         self.engine.recover(found.open, found.answers)
 
-    async def keep(self, emitted: list) -> None:
+    async def persist(self, emitted: list) -> None:
         """Where each commit is flushed a thread waits for the disk. Without, a commit takes less than a thread's hop,
         which costs up to one switch of the interpreter each way."""
         if self.setup.cluster.journal.power:
@@ -216,7 +220,7 @@
     async def watch_room(self) -> None:
         while True:
             self.mind_room(await self.on_disk(self.journal.look))
-            self.engine.journal_usage = self.journal.in_use, int(self.journal.most * FULL_AT)
+            self.engine.journal_usage = self.journal.in_use, int(self.journal.max_bytes * FULL_AT)
             await anyio.sleep(ROOM_EVERY)
 
     def mind_room(self, full: bool) -> None:
@@ -226,7 +230,7 @@
                 self.log.error(
                     "journal is full: sessions' jobs are turned away",
                     used=self.journal.used(),
-                    most=self.journal.most,
+                    most=self.journal.max_bytes,
                 )
             else:
                 self.log.info("journal has room again", used=self.journal.used())
@@ -235,9 +239,9 @@
         ends = float("inf")
         while True:
             emitted = self.stepper.step()
-            keep = to_keep(emitted)
+            keep = effects_to_persist(emitted)
             if keep:  # on disk before any of it shows: the turn's jobs share the flush, the next turn gathers meanwhile
-                await self.keep(keep)
+                await self.persist(keep)
             for effect in emitted:
                 self.carry(effect)
             if self.leaving.is_set():
@@ -259,7 +263,7 @@
             elif kind is effects.SendLaunch:
                 self.inbox.put(events.LaunchesUnsent(effect.host, (effect.number,)))
         elif kind in CLIENT_EFFECTS:
-            self.front.send(effect.client, effect)
+            self.client_listener.send(effect.client, effect)
         elif kind is effects.AddHost:
             self.know(effect.host)
         elif kind is effects.RemoveHost:
@@ -273,7 +277,7 @@
         elif kind in ONLY_KEPT:
             pass  # the journal has them
         elif kind is effects.Halt:
-            raise Halted(effect.reason)
+            raise HaltedError(effect.reason)
         else:
             raise TypeError(f"nothing carries out {effect!r}")
 
@@ -314,8 +318,8 @@
                 host for host in self.kept.values() if host.id in self.links and host.mode is not Mode.GONE
             )
             try:
-                await self.on_disk(self.store.keep_list, self.journal_time(), self.watch.version, hosts)
-            except StoreFault as error:  # the former list stays; jobs do not wait for a disk
+                await self.on_disk(self.store.save_host_list, self.journal_time(), self.watch.version, hosts)
+            except StoreError as error:  # the former list stays; jobs do not wait for a disk
                 self.log.error("list not kept", reason=str(error))
             await anyio.sleep(KEEP_EVERY)
 
@@ -326,7 +330,7 @@
             return await anyio.to_thread.run_sync(call, *args)
 
     def journal_time(self) -> float:
-        return self.clock.at(steady.monotonic())
+        return self.clock.at(journal_clock.monotonic())
 
     async def tell(self) -> None:
         while True:
--- a/linedeal/controller/translate.py
+++ b/linedeal/controller/translate.py
@@ -199,7 +199,7 @@
         return ""  # it is the owner's and the host's affair, nothing here depends on it
 
 
-def to_client(effect):
+def message_for_client(effect):
     """The message that an effect owes to a client."""
     match effect:
         case effects.AcceptJob(_, key, job):
--- a/linedeal/fleet/disk.py
+++ b/linedeal/fleet/disk.py
@@ -10,24 +10,24 @@
 
 from linedeal.council.records import Identity, Keep
 from linedeal.fleet import codec
-from linedeal.state import StoreFault, opened
+from linedeal.state import StoreError, open_database
 
 FILE = "council.db"
 
 
 class CouncilDisk:
-    """One process at a time. Raises StoreFault, one plain line that names the file."""
+    """One process at a time. Raises StoreError, one plain line that names the file."""
 
     def __init__(self, directory: str | Path, name: str, cluster: str):
         self.path = Path(directory) / FILE
-        self.db = opened(self.path, "council")
+        self.db = open_database(self.path, "council")
         try:
             self.kept = self.read()
             self.identity = self.known(name, cluster)
         except sqlite3.Error as error:
             self.close()
-            raise StoreFault(f"{self.path}: {error}") from None
-        except StoreFault:
+            raise StoreError(f"{self.path}: {error}") from None
+        except StoreError:
             self.close()
             raise
 
@@ -37,7 +37,7 @@
             try:
                 found[name] = codec.read_back(name, value)
             except (msgspec.DecodeError, KeyError) as error:
-                raise StoreFault(f"{self.path}: {name} cannot be read: {error}") from None
+                raise StoreError(f"{self.path}: {name} cannot be read: {error}") from None
         return found
 
     def known(self, name: str, cluster: str) -> Identity:
@@ -48,7 +48,7 @@
             self.kept |= {"identity": Identity(name, incarnation), "cluster": cluster}
         identity = self.kept["identity"]
         if (identity.name, self.kept["cluster"]) != (name, cluster):
-            raise StoreFault(
+            raise StoreError(
                 f"{self.path}: is {identity.name}'s of council {self.kept['cluster']}, "
                 f"not {name}'s of {cluster}"
             )
@@ -67,7 +67,7 @@
         except sqlite3.Error as error:
             if self.db.in_transaction:
                 self.db.execute("ROLLBACK")
-            raise StoreFault(f"{self.path}: cannot be written: {error}") from None
+            raise StoreError(f"{self.path}: cannot be written: {error}") from None
 
     def close(self) -> None:
         self.db.close()
--- a/linedeal/fleet/service.py
+++ b/linedeal/fleet/service.py
@@ -36,7 +36,7 @@
 from linedeal.net import Address, Net
 from linedeal.protocol import VERSION, encode, pb
 from linedeal.settings.records import CouncilSettings
-from linedeal.state import StoreFault
+from linedeal.state import StoreError
 
 QUEUE = 1024  # packets and asks that wait for the core
 WITHIN = 10.0  # seconds, at most, for an answer
@@ -94,7 +94,7 @@
             while True:
                 try:
                     await self.live()
-                except StoreFault as error:
+                except StoreError as error:
                     self.log.error("council stands still", reason=str(error))
                     self.unknown()
                 with anyio.move_on_after(pause):
--- a/linedeal/lab/day.py
+++ b/linedeal/lab/day.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 from random import Random
 
-from linedeal.settings.cluster import Cluster, ConfigFault, read_cluster
+from linedeal.settings.cluster import Cluster, ConfigError, read_cluster
 from linedeal.settings.records import Bounds
 from linedeal.standin.model import Habits
 
@@ -102,7 +102,7 @@
 
 
 def read_day(path: str | Path) -> Day:
-    """Raises DayFault or ConfigFault with all faults."""
+    """Raises DayFault or ConfigError with all faults."""
     path = Path(path)
     try:
         text = path.read_text(encoding="utf-8")
@@ -137,7 +137,7 @@
                 self.faults.append(f"{self.name}: no line names a cluster")
             else:
                 cluster = read_cluster(self.base / self.cluster_path)
-        except ConfigFault as error:
+        except ConfigError as error:
             self.faults += error.lines
         orders = []
         for number, words in self.orders:
--- a/linedeal/lab/tap.py
+++ b/linedeal/lab/tap.py
@@ -14,7 +14,7 @@
 from linedeal.net import Address
 from linedeal.net.base import CONNECTION_ERRORS
 from linedeal.protocol import FrameError, FrameReader, pb
-from linedeal.protocol.frames import HEAD
+from linedeal.protocol.frames import HEADER
 
 HELD_MOST = 4 << 20  # bytes that one direction of a cut link keeps; past that the link ends
 
@@ -163,8 +163,8 @@
 
     def feed(self, data: bytes) -> list[bytes]:
         self.rest, found = self.rest + data, []
-        while len(self.rest) >= HEAD.size and len(self.rest) >= (
-            size := HEAD.size + HEAD.unpack_from(self.rest)[0]
+        while len(self.rest) >= HEADER.size and len(self.rest) >= (
+            size := HEADER.size + HEADER.unpack_from(self.rest)[0]
         ):
             found.append(self.rest[:size])
             self.rest = self.rest[size:]
--- a/linedeal/platform/config.py
+++ b/linedeal/platform/config.py
@@ -9,7 +9,7 @@
 from linedeal.platform import bus
 from linedeal.settings import build
 from linedeal.settings.records import Cluster, JournalSettings, Limits, Rules
-from linedeal.wiresettings import BadSetting, read_settings, report_names
+from linedeal.wiresettings import SettingError, read_settings, report_names
 
 PROBE = 1.0  # seconds after which a probe counts as unanswered
 CONNECT_SLACK = 0.05  # seconds: a connection's time-out is that of the settings and so much
@@ -84,7 +84,7 @@
             build.number(permissions.get(key), f"permissions.{key}") / 1000
             for key in ("connect_timeout_ms", "keepalive_ms")
         )
-    except BadSetting as error:
+    except SettingError as error:
         raise ConfigFault(f"{path}: settings: {error}") from None
     if not (0 < connect <= WAIT_MOST and 0 < idle <= WAIT_MOST):
         raise ConfigFault(
--- a/linedeal/processes.py
+++ b/linedeal/processes.py
@@ -9,7 +9,7 @@
 import anyio.to_thread
 
 
-async def take_orders(control: Callable[[dict], None], log) -> None:
+async def read_orders(control: Callable[[dict], None], log) -> None:
     """Orders as JSON lines on standard input, until it ends: then whoever started this process is gone."""
     while True:
         line = await anyio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True)
@@ -21,7 +21,7 @@
             log.error("order not followed", order=line.strip()[:200], reason=str(error))
 
 
-async def until_told(leave: Callable[[], None]) -> None:
+async def stop_on_signal(leave: Callable[[], None]) -> None:
     """Calls `leave` at the first SIGTERM or SIGINT."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
@@ -29,7 +29,7 @@
             return
 
 
-def tell_address(address) -> None:
+def print_address(address) -> None:
     """The first line of a long-lived command: where it listens, for programs."""
     print(json.dumps({"address": f"{address[0]}:{address[1]}"}), flush=True)
 
--- a/linedeal/protocol/frames.py
+++ b/linedeal/protocol/frames.py
@@ -14,14 +14,14 @@
 from linedeal.net import FrameError
 from linedeal.protocol import linedeal_pb2 as pb
 
-HEAD = struct.Struct(">IB")
+HEADER = struct.Struct(">IB")
 PLAIN, PACKED = 0, 1
 MOST = 1 << 20  # bytes of one frame on the wire
 MOST_UNPACKED = 16 << 20  # bytes of one envelope once unpacked
 PACK_FROM = 1024  # host lists shorter than this gain nothing from zstd
 
 
-def encode(message, pack: bool = False) -> bytes:
+def encode(message, compress: bool = False) -> bytes:
     """One frame around `message`, any message that `Envelope` can hold. Raises FrameError when it is too large.
 
     >>> reader = FrameReader()
@@ -33,11 +33,11 @@
     except EncodeError as error:
         raise FrameError(f"{type(message).__name__} cannot be encoded: {error}") from None
     form = PLAIN
-    if pack and len(body) >= PACK_FROM:
+    if compress and len(body) >= PACK_FROM:
         body, form = zstandard.ZstdCompressor(level=3).compress(body), PACKED
     if len(body) > MOST:
         raise FrameError(f"{type(message).__name__} of {len(body)} bytes is over the {MOST} of a frame")
-    return HEAD.pack(len(body), form) + body
+    return HEADER.pack(len(body), form) + body
 
 
 class FrameReader:
@@ -54,16 +54,16 @@
     def feed(self, data: bytes) -> Iterator:
         """Yields messages; None for one of a later version, which is to be passed over. Raises FrameError."""
         self.rest += data
-        while len(self.rest) >= HEAD.size:
-            length, form = HEAD.unpack_from(self.rest)
+        while len(self.rest) >= HEADER.size:
+            length, form = HEADER.unpack_from(self.rest)
             if length > self.most:
                 raise FrameError(f"a frame of {length} bytes, at most {self.most} are taken")
             if form not in (PLAIN, PACKED):
                 raise FrameError(f"a frame of unknown form {form}")
-            if len(self.rest) < HEAD.size + length:
+            if len(self.rest) < HEADER.size + length:
                 return
-            body = bytes(self.rest[HEAD.size : HEAD.size + length])
-            del self.rest[: HEAD.size + length]
+            body = bytes(self.rest[HEADER.size : HEADER.size + length])
+            del self.rest[: HEADER.size + length]
             yield decode(body, form)
 
     def finish(self):
--- a/linedeal/settings/build.py
+++ b/linedeal/settings/build.py
@@ -8,37 +8,37 @@
 from linedeal import interface as api
 
 
-class BadSetting(Exception):
+class SettingError(Exception):
     """Names the setting that is missing, of the wrong type or out of its range."""
 
 
 def number(value, path: str) -> float:
-    """`value` as a float, or BadSetting that names `path`.
+    """`value` as a float, or SettingError that names `path`.
 
     >>> number(3, "young.time")
     3.0
     """
     if value is None:
-        raise BadSetting(f"{path} is missing")
+        raise SettingError(f"{path} is missing")
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise BadSetting(f"{path} is not a number")
+        raise SettingError(f"{path} is not a number")
     try:
         value = float(value)
     except OverflowError:
-        raise BadSetting(f"{path} is larger than can be reckoned with") from None
+        raise SettingError(f"{path} is larger than can be reckoned with") from None
     if math.isnan(value):
-        raise BadSetting(f"{path} is not a number")
+        raise SettingError(f"{path} is not a number")
     return value
 
 
 def typed(value, kind: type, path: str):
-    """`value` if it is of that type (whole numbers pass as float), or BadSetting that names `path`."""
+    """`value` if it is of that type (whole numbers pass as float), or SettingError that names `path`."""
     if kind is float:
         return number(value, path)
     if value is None:
-        raise BadSetting(f"{path} is missing")
+        raise SettingError(f"{path} is missing")
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise BadSetting(f"{path} is not {kind.__name__}")
+        raise SettingError(f"{path} is not {kind.__name__}")
     return value
 
 
@@ -72,7 +72,7 @@
     )
 
 
-def faults(settings: api.Settings) -> list[tuple[str, str]]:
+def invalid_settings(settings: api.Settings) -> list[tuple[str, str]]:
     """What no controller can work with, as (setting, fault), in the order of the settings; empty when sound.
 
     Wherever the settings come from: each of these would stop the module's arithmetic.
@@ -89,7 +89,7 @@
     return [fault for fault in found if fault]
 
 
-def doubts(settings: api.Settings) -> list[tuple[str, str]]:
+def implausible_settings(settings: api.Settings) -> list[tuple[str, str]]:
     """What an operator who writes the settings by hand cannot have meant, in the same form."""
     found = [
         low("max_launches", settings.max_launches, 1),
--- a/linedeal/settings/cluster.py
+++ b/linedeal/settings/cluster.py
@@ -39,7 +39,7 @@
 MOST = {"tick": 1.0, "work": 1_000_000}  # seconds; bytes that a frame carries beside the rest of a job
 
 
-class ConfigFault(Exception):
+class ConfigError(Exception):
     """`lines`: every fault found, each `file: block: fault` on one line."""
 
     def __init__(self, lines: list[str]):
@@ -91,18 +91,18 @@
 
 
 def read_cluster(path: str | Path) -> Cluster:
-    """The records of a cluster file. Raises ConfigFault with every fault of the file."""
+    """The records of a cluster file. Raises ConfigError with every fault of the file."""
     try:
         text = Path(path).read_text(encoding="utf-8")
         cluster = parse_cluster(text, str(path))
         # guards against a file that somebody is writing: cut between two blocks it is sound, and lacks the rest
         if Path(path).is_file() and Path(path).read_text(encoding="utf-8") != text:
-            raise ConfigFault([f"{path}: changed while it was read"])
+            raise ConfigError([f"{path}: changed while it was read"])
         return cluster
     except OSError as error:
-        raise ConfigFault([f"{path}: cannot be read: {error.strerror}"]) from None
+        raise ConfigError([f"{path}: cannot be read: {error.strerror}"]) from None
     except UnicodeDecodeError as error:
-        raise ConfigFault([f"{path}: not UTF-8 at byte {error.start}"]) from None
+        raise ConfigError([f"{path}: not UTF-8 at byte {error.start}"]) from None
 
 
 def parse_cluster(text: str, name: str = "cluster.hcl") -> Cluster:
@@ -136,7 +136,7 @@
         if not blocks[key]:
             blocks[key][""] = values(BLOCKS[key], {}, key, fault)
     if lines:
-        raise ConfigFault(lines)
+        raise ConfigError(lines)
     settings = to_settings(blocks)
     limits, rules = Limits(**blocks["limits"][""]), Rules(**blocks["rules"][""])
     journal = JournalSettings(**blocks["journal"][""])
@@ -159,7 +159,7 @@
             fault(f"offering {offering}", "most is for offerings with a spread")
     if keys.needed and not keys.hashes:
         fault("clients", "keys_needed, and no customer has a key")
-    for where, said in build.faults(settings) + build.doubts(settings):
+    for where, said in build.invalid_settings(settings) + build.implausible_settings(settings):
         block, _, key = where.rpartition(".")
         fault(block or "cluster", f"{key} {said}")
     for block, record in (("limits", limits), ("rules", rules)):
@@ -171,7 +171,7 @@
             fault("journal", f"{key} is {getattr(journal, key):g}, over {least} is needed")
     council, campaign = council_of(blocks, fault), campaign_of(blocks, fault)
     if lines:
-        raise ConfigFault(lines)
+        raise ConfigError(lines)
     return Cluster(settings, limits, rules, journal, keys, council, campaign)
 
 
@@ -235,11 +235,11 @@
         found = hcl2.loads(text)
     except LarkError as error:
         line, said = getattr(error, "line", None), str(error).splitlines()[0]
-        raise ConfigFault(
+        raise ConfigError(
             [f"{name}: line {line}: not HCL: {said}" if line else f"{name}: not HCL: {said}"]
         ) from None
     except RecursionError:
-        raise ConfigFault([f"{name}: not HCL: nested too deep"]) from None
+        raise ConfigError([f"{name}: not HCL: nested too deep"]) from None
     return {key: value for key, value in found.items() if not key.startswith("__")}
 
 
@@ -261,14 +261,14 @@
         try:
             if isinstance(kind, tuple):
                 if build.typed(value, str, key) not in kind:
-                    raise build.BadSetting(f"{key} is {value!r}, one of {', '.join(kind)} is needed")
+                    raise build.SettingError(f"{key} is {value!r}, one of {', '.join(kind)} is needed")
                 found[key] = value
             else:
                 found[key] = build.typed(value, kind, key)
                 most = MOST.get(key, LARGEST)
                 if isinstance(found[key], (int, float)) and not -most <= found[key] <= most:
-                    raise build.BadSetting(f"{key} is out of all measure, at most {most:g} is taken")
-        except build.BadSetting as error:
+                    raise build.SettingError(f"{key} is out of all measure, at most {most:g} is taken")
+        except build.SettingError as error:
             fault(where, str(error))
     return found
 
--- a/linedeal/settings/keys.py
+++ b/linedeal/settings/keys.py
@@ -29,12 +29,12 @@
 NOBODY = hash_of("")
 
 
-class NotAdmitted(Exception):
+class AuthenticationError(Exception):
     """Its text is what the client is told: never whether the customer exists."""
 
 
 def admit(keys: Keys, customer: str, token: str) -> str:
-    """The customer that this token proves, empty for a link without one. Raises NotAdmitted.
+    """The customer that this token proves, empty for a link without one. Raises AuthenticationError.
 
     The same comparison is made whether or not the customer is known, in a time that does not depend on where the
     texts differ.
@@ -42,10 +42,12 @@
     same = hmac.compare_digest(keys.hashes.get(customer, NOBODY).encode(), hash_of(token).encode())
     if customer in keys.hashes:
         if not same or not token:
-            raise NotAdmitted("customer and key do not fit")
+            raise AuthenticationError("customer and key do not fit")
         return customer
     if token or keys.needed:
-        raise NotAdmitted("customer and key do not fit" if token else "a customer and its key are needed")
+        raise AuthenticationError(
+            "customer and key do not fit" if token else "a customer and its key are needed"
+        )
     return ""
 
 
@@ -56,6 +58,6 @@
     keys = Keys({COUNCIL: council.key}, True) if council.key else Keys()
     try:
         admit(keys, COUNCIL if council.key else "", token)
-    except NotAdmitted:
+    except AuthenticationError:
         return "the council's key does not fit"
     return ""
--- a/linedeal/standin/discovery.py
+++ b/linedeal/standin/discovery.py
@@ -132,7 +132,7 @@
             version, _, data = self.packed[known] = (
                 message.version,
                 anyio.current_time(),
-                encode(message, pack=True),
+                encode(message, compress=True),
             )
         return version, data
 
--- a/linedeal/standin/host.py
+++ b/linedeal/standin/host.py
@@ -93,7 +93,7 @@
                 return
             self.model.pass_time(anyio.current_time())
             answer = self.model.hello(hello.name, hello.life, hello.link)
-            await link.send(encode(answer, pack=True))
+            await link.send(encode(answer, compress=True))
             if isinstance(answer, pb.Bye):
                 return
             old = self.peers.get(hello.name)
--- a/linedeal/state/__init__.py
+++ b/linedeal/state/__init__.py
@@ -1,5 +1,5 @@
 """What a controller keeps on disk from one life to the next."""
 
-from linedeal.state.store import Store, StoreFault, opened
+from linedeal.state.store import Store, StoreError, open_database
 
-__all__ = ["Store", "StoreFault", "opened"]
+__all__ = ["Store", "StoreError", "open_database"]
--- a/linedeal/state/journal.py
+++ b/linedeal/state/journal.py
@@ -2,7 +2,7 @@
 
 One transaction a turn of the engine, so that all jobs of a turn share one flush (group commit). With `power`, each
 commit is flushed to the disk and outlives a loss of power; without, it is in the system's hands, which is enough for
-the death of the process at any byte. All times in it are those of `state.steady`.
+the death of the process at any byte. All times in it are those of `state.journal_clock`.
 """
 
 import sqlite3
@@ -16,7 +16,7 @@
 from linedeal.engine.ledger import VERDICTS
 from linedeal.engine.recovery import StoredAnswer, OldLaunch, OpenJob
 from linedeal.interface import Job
-from linedeal.state.store import Store, StoreFault
+from linedeal.state.store import Store, StoreError
 
 TABLES = """
 CREATE TABLE IF NOT EXISTS jobs (id TEXT PRIMARY KEY, session TEXT, key TEXT, job BLOB, sum INTEGER, expires REAL,
@@ -30,7 +30,7 @@
 FULL_AT, ROOM_AT = 0.9, 0.8  # parts of the bound: past the first it counts as full, below the second as not
 
 
-class JournalFull(StoreFault):
+class JournalFull(StoreError):
     """No room on the disk or within the bound, with the spare given up."""
 
 
@@ -43,19 +43,21 @@
 
 
 class Journal:
-    """`most`: bytes it may take. `spare`: bytes held back on the disk, so that what is taken can be seen through."""
+    """`max_bytes`: bytes it may take. `reserve_bytes`: bytes held back on the disk, so that what is taken can be seen through."""
 
-    def __init__(self, store: Store, power: bool = False, most: int = 1 << 30, spare: int = 1 << 22):
-        self.store, self.db, self.most, self.spare = store, store.db, most, spare
+    def __init__(
+        self, store: Store, power: bool = False, max_bytes: int = 1 << 30, reserve_bytes: int = 1 << 22
+    ):
+        self.store, self.db, self.max_bytes, self.reserve_bytes = store, store.db, max_bytes, reserve_bytes
         self.spare_path = store.path.with_name("spare")
         try:
             self.db.execute(f"PRAGMA synchronous={'FULL' if power else 'NORMAL'}")
             for statement in TABLES.split(";"):
                 self.db.execute(statement)
             self.page = self.db.execute("PRAGMA page_size").fetchone()[0]
-            self.db.execute(f"PRAGMA max_page_count={max(most // self.page, 64)}")
+            self.db.execute(f"PRAGMA max_page_count={max(max_bytes // self.page, 64)}")
         except sqlite3.Error as error:
-            raise StoreFault(f"{store.path}: {error}") from None
+            raise StoreError(f"{store.path}: {error}") from None
         self.full, self.in_use = False, 0
         self.starved = not self.set_spare()
 
@@ -64,10 +66,12 @@
     def set_spare(self) -> bool:
         """Takes the spare on the disk; False where there is no room for it."""
         try:
-            if not self.spare_path.exists() or self.spare_path.stat().st_size < self.spare:
+            if not self.spare_path.exists() or self.spare_path.stat().st_size < self.reserve_bytes:
                 with open(self.spare_path, "wb") as file:
-                    for at in range(0, self.spare, 65536):  # real bytes: a hole would hold nothing back
-                        file.write(b"\xa5" * min(65536, self.spare - at))
+                    for at in range(
+                        0, self.reserve_bytes, 65536
+                    ):  # real bytes: a hole would hold nothing back
+                        file.write(b"\xa5" * min(65536, self.reserve_bytes - at))
             return True
         except OSError:
             self.give_spare()
@@ -91,22 +95,24 @@
         self.in_use = used = self.used()
         if self.starved and not self.spare_path.exists():
             self.starved = not self.set_spare()
-        self.full = self.starved or used > self.most * (ROOM_AT if self.full else FULL_AT)
+        self.full = self.starved or used > self.max_bytes * (ROOM_AT if self.full else FULL_AT)
         return self.full
 
     # -- writing
 
     def write(self, at: float, life: int, emitted: list) -> None:
-        """All that these effects ask to be kept, in one transaction. Raises StoreFault; then nothing of it is kept."""
+        """All that these effects ask to be kept, in one transaction. Raises StoreError; then nothing of it is kept."""
         try:
             self.transact(at, life, emitted)
         except sqlite3.Error as error:
             if not is_full(error):
-                raise StoreFault(f"{self.store.path}: journal cannot be written: {error}") from None
+                raise StoreError(f"{self.store.path}: journal cannot be written: {error}") from None
             self.full = self.starved = True
             self.give_spare()
             try:
-                self.db.execute(f"PRAGMA max_page_count={max((self.most + self.spare) // self.page, 64)}")
+                self.db.execute(
+                    f"PRAGMA max_page_count={max((self.max_bytes + self.reserve_bytes) // self.page, 64)}"
+                )
                 self.transact(at, life, emitted)
             except sqlite3.Error as again:
                 raise JournalFull(f"{self.store.path}: journal cannot be written: {again}") from None
@@ -199,12 +205,12 @@
 
     def read(self, at: float, longest: float, doubt: bool = False) -> Found:
         """What earlier lives left. `longest`: seconds that any job may wait, which bounds what a clock that jumped can
-        do; `doubt`: it has jumped, so that no launch's time is believed. Raises StoreFault for a record that does not
+        do; `doubt`: it has jumped, so that no launch's time is believed. Raises StoreError for a record that does not
         match its checksum, or cannot be read at all."""
         try:
             return self.found(at, longest, doubt)
         except (sqlite3.Error, msgspec.MsgspecError, TypeError) as error:
-            raise StoreFault(f"{self.store.path}: damaged: {error}") from None
+            raise StoreError(f"{self.store.path}: damaged: {error}") from None
 
     def found(self, at: float, longest: float, doubt: bool) -> Found:
         launches: dict[str, list[OldLaunch]] = {}
@@ -243,7 +249,7 @@
                 ending,
             ) = row
             if zlib.crc32(work, zlib.crc32(blob)) != total:
-                raise StoreFault(f"{self.store.path}: job {job_id} does not match its checksum")
+                raise StoreError(f"{self.store.path}: job {job_id} does not match its checksum")
             record = msgspec.msgpack.decode(blob, type=dict)
             promise, job = record.pop("promise", ""), msgspec.convert(record, Job)
 
@@ -295,7 +301,7 @@
     return code is not None and code & 0xFF == sqlite3.SQLITE_FULL
 
 
-def to_keep(emitted: list) -> list:
+def effects_to_persist(emitted: list) -> list:
     """Those of a turn's effects that have to be on disk before any of the turn is carried out."""
     return [
         effect
--- a/linedeal/state/steady.py
+++ b/linedeal/state/journal_clock.py
@@ -28,14 +28,14 @@
         return self.base.shift + monotonic
 
 
-def go_on(kept: Base | None, machine: str, monotonic: float, time_of_day: float, written: float) -> Clock:
+def resume(kept: Base | None, machine: str, monotonic: float, time_of_day: float, written: float) -> Clock:
     """The clock of this life. `written`: the latest journal time on disk, 0 where there is none.
 
-    >>> go_on(Base("m", 900.0), "m", 200.0, 5.0, 1090.0).at(200.0)     # the time of day was set back
+    >>> resume(Base("m", 900.0), "m", 200.0, 5.0, 1090.0).at(200.0)     # the time of day was set back
     1100.0
-    >>> go_on(Base("m", 900.0), "n", 10.0, 2000.0, 1090.0).at(10.0)    # the machine has started again
+    >>> resume(Base("m", 900.0), "n", 10.0, 2000.0, 1090.0).at(10.0)    # the machine has started again
     2000.0
-    >>> go_on(Base("m", 900.0), "n", 10.0, 500.0, 1090.0)              # ... and its time of day was set back
+    >>> resume(Base("m", 900.0), "n", 10.0, 500.0, 1090.0)              # ... and its time of day was set back
     Clock(base=Base(machine='n', shift=1080.0), doubt=True)
     """
     if kept is not None and machine and kept.machine == machine:
@@ -44,7 +44,7 @@
     return Clock(Base(machine, (written if back else time_of_day) - monotonic), back)
 
 
-def this_machine() -> str:
+def current_boot_id() -> str:
     try:
         return BOOT_ID.read_text().strip()
     except OSError:
--- a/linedeal/state/store.py
+++ b/linedeal/state/store.py
@@ -11,17 +11,17 @@
 import msgspec
 
 from linedeal.engine.events import ListedHost
-from linedeal.state.steady import Base
+from linedeal.state.journal_clock import Base
 from linedeal.state.upgrade import FORMAT, upgrade
 
 
-class StoreFault(Exception):
+class StoreError(Exception):
     """The directory cannot be used; its text is one plain line that names it."""
 
 
-def opened(path: Path, table: str) -> sqlite3.Connection:
+def open_database(path: Path, table: str) -> sqlite3.Connection:
     """The database at `path` with this table, locked for this process; what is written is flushed at each commit.
-    Raises StoreFault; none is left open then."""
+    Raises StoreError; none is left open then."""
     db = None
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
@@ -34,18 +34,18 @@
         db.execute("COMMIT")
         (health,) = db.execute("PRAGMA quick_check(1)").fetchone()
         if health != "ok":  # guards against a page that was torn or written by another hand
-            raise StoreFault(f"{path}: damaged: {health.splitlines()[-1]}")
+            raise StoreError(f"{path}: damaged: {health.splitlines()[-1]}")
         return db
     except BaseException as error:
         if db is not None:
             db.close()
         if isinstance(error, sqlite3.OperationalError):
             said = "another controller uses it" if "locked" in str(error) else str(error)
-            raise StoreFault(f"{path}: {said}") from None
+            raise StoreError(f"{path}: {said}") from None
         if isinstance(error, sqlite3.DatabaseError):
-            raise StoreFault(f"{path}: {error}") from None
+            raise StoreError(f"{path}: {error}") from None
         if isinstance(error, OSError):
-            raise StoreFault(f"{path.parent}: {error.strerror}") from None
+            raise StoreError(f"{path.parent}: {error.strerror}") from None
         raise
 
 
@@ -56,30 +56,30 @@
         self.db = None
         try:
             self.open(directory)
-        except StoreFault:
+        except StoreError:
             if self.db is not None:
                 self.db.close()  # its lock, and an upgrade that was cut short, go with it
             raise
 
     def open(self, directory) -> None:
         path = self.path = Path(directory) / "controller.db"
-        self.db = opened(path, "kept")
+        self.db = open_database(path, "kept")
         if self.get("format", int) is None:
             self.put("format", FORMAT)
         found = self.get("format", int)
         if not isinstance(found, int) or not 1 <= found <= FORMAT:
-            raise StoreFault(f"{path}: has format {found}, this version reads 1 to {FORMAT}")
+            raise StoreError(f"{path}: has format {found}, this version reads 1 to {FORMAT}")
         try:
             upgrade(self.db, found, lambda number: self.put("format", number))
         except sqlite3.Error as error:
-            raise StoreFault(f"{path}: cannot be brought from format {found} to {FORMAT}: {error}") from None
+            raise StoreError(f"{path}: cannot be brought from format {found} to {FORMAT}: {error}") from None
 
     def get(self, name: str, kind):
         row = self.db.execute("SELECT value FROM kept WHERE name = ?", (name,)).fetchone()
         try:
             return None if row is None else msgspec.msgpack.decode(row[0], type=kind)
         except msgspec.DecodeError as error:
-            raise StoreFault(f"{self.path}: {name} cannot be read: {error}") from None
+            raise StoreError(f"{self.path}: {name} cannot be read: {error}") from None
 
     def put(self, name: str, value) -> None:
         try:
@@ -88,7 +88,7 @@
                 (name, msgspec.msgpack.encode(value)),
             )
         except sqlite3.Error as error:
-            raise StoreFault(f"{self.path}: {name} cannot be kept: {error}") from None
+            raise StoreError(f"{self.path}: {name} cannot be kept: {error}") from None
 
     def next_life(self) -> int:
         """A number larger than that of every life before; on disk when this returns."""
@@ -96,7 +96,7 @@
         self.put("life", life)
         return life
 
-    def last_list(self, at: float) -> tuple[int, tuple[ListedHost, ...]]:
+    def load_host_list(self, at: float) -> tuple[int, tuple[ListedHost, ...]]:
         """The version and hosts of the list kept last; (0, ()) where there is none.
 
         `at` is the time of day; hosts have grown older by what has passed since, or by nothing if clocks jumped.
@@ -105,13 +105,13 @@
         passed = max(0.0, at - kept_at)
         return version, tuple(replace(host, age=host.age + passed) for host in hosts)
 
-    def keep_list(self, at: float, version: int, hosts: tuple[ListedHost, ...]) -> None:
+    def save_host_list(self, at: float, version: int, hosts: tuple[ListedHost, ...]) -> None:
         self.put("list", (at, version, hosts))
 
-    def clock(self) -> Base | None:
+    def load_clock(self) -> Base | None:
         return self.get("clock", Base)
 
-    def keep_clock(self, base: Base) -> None:
+    def save_clock(self, base: Base) -> None:
         self.put("clock", base)
 
     def close(self) -> None:
--- a/linedeal/wirehost.py
+++ b/linedeal/wirehost.py
@@ -9,7 +9,7 @@
 
 from linedeal import interface as api
 from linedeal.policy import Controller
-from linedeal.wiresettings import MODES, METRICS, REASONS, BadSetting, read_settings, report_names
+from linedeal.wiresettings import MODES, METRICS, REASONS, SettingError, read_settings, report_names
 
 RESULTS = {
     "ok": api.Result.DONE,
@@ -65,7 +65,7 @@
             call()
         except InputError:
             raise
-        except BadSetting as error:
+        except SettingError as error:
             self.fatal(who, f"setting {error}")
         except Exception as error:
             traceback.print_exc()
--- a/linedeal/wiresettings.py
+++ b/linedeal/wiresettings.py
@@ -2,7 +2,7 @@
 
 from linedeal import interface as api
 from linedeal.settings import build
-from linedeal.settings.build import BadSetting
+from linedeal.settings.build import SettingError
 
 EFFECTS = {"retryable": api.Effect.REDOABLE, "dedup": api.Effect.LABELLED}
 PLACES = {
@@ -105,6 +105,6 @@
         slow_start_limit=get(setup, "domain.young_limit", float),
         slow_start_window=get(setup, "rules.overload_for_ms", float) / 1000,
     )
-    for where, said in build.faults(settings):
-        raise BadSetting(f"{where} {said}")
+    for where, said in build.invalid_settings(settings):
+        raise SettingError(f"{where} {said}")
     return settings
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -32,7 +32,7 @@
 from linedeal.lab.record import Recorder
 from linedeal.lab.releases import Trouble, played
 from linedeal.protocol import encode, pb
-from linedeal.settings.cluster import ConfigFault, parse_cluster
+from linedeal.settings.cluster import ConfigError, parse_cluster
 
 BOUNDS = Bounds(most=2, cells=2, room=0.5, patience=20.0, warm=5.0, away=30.0)
 FLEET = {"a": ("std", 0), "b": ("std", 0), "c": ("std", 1), "d": ("std", 1), "e": ("std", 2)}
@@ -232,7 +232,7 @@
     ],
 )
 def test_a_faulty_block_is_named(line, said):
-    with pytest.raises(ConfigFault) as found:
+    with pytest.raises(ConfigError) as found:
         parse_cluster(
             f'cluster {{\n controllers = 1\n}}\nkind "std" {{\n cores = 1\n memory = 1\n}}\noffering "w" {{\n expiry = 5\n effect = "redoable"\n}}\ncouncil {{\n id = "x"\n}}\nmember "c1" {{\n address = "a:1"\n}}\ncampaign {{\n {line}\n}}'
         )
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -189,7 +189,7 @@
                     tasks.start_soon(one, name, number, asked)
         await anyio.sleep(2.0)
         engine = ground.servers["c1"].engine
-        front = ground.servers["c1"].front
+        front = ground.servers["c1"].client_listener
         left = (
             dict(engine.unanswered),
             [link for link in ground.servers["c1"].links.values() if link.outbox],
@@ -323,7 +323,7 @@
                 await anyio.sleep(0.1)
         await anyio.sleep(8.0)
         held = [job for job in engine.unanswered.values() if job.job.customer != "rogue"]
-        return verdicts, most, held, seen["runtime"].front.clients, judged(ground, day)
+        return verdicts, most, held, seen["runtime"].client_listener.clients, judged(ground, day)
 
     verdicts, most, held, clients, breaches = play.in_memory(day, work, runtime=Counted)
     assert set(verdicts) <= {"placed", "rejected"} and verdicts.count("placed") >= 6, verdicts
@@ -336,9 +336,9 @@
     day = day_of(tmp_path)
 
     class SlowDisk(Stallable):
-        async def keep(self, effects):
+        async def persist(self, effects):
             await anyio.sleep(0.05)
-            await super().keep(effects)
+            await super().persist(effects)
 
     async def work(ground):
         await anyio.sleep(3.0)
@@ -397,7 +397,7 @@
         await flood(link, sent)
         await anyio.sleep(7.0)
         return (
-            len(ground.servers["c1"].front.clients),
+            len(ground.servers["c1"].client_listener.clients),
             len(ground.servers["c1"].engine.unanswered),
             judged(ground, day),
         )
@@ -446,7 +446,7 @@
         link, _ = await hello_of(ground, session="s")
         await flood(link, [pb.Submit(key="a", job=spec("feed"), follow=True)])
         await anyio.sleep(6.0)
-        return len(ground.servers["c1"].front.clients), judged(ground, day)
+        return len(ground.servers["c1"].client_listener.clients), judged(ground, day)
 
     clients, breaches = play.in_memory(day, work, runtime=Clogged)
     assert clients == 0 and not breaches
@@ -532,7 +532,11 @@
         for link, _ in crowd:
             await link.close()
         await anyio.sleep(0.5)
-        return [name for _, name in crowd], type(said).__name__, dict(ground.servers["c1"].front.links.of)
+        return (
+            [name for _, name in crowd],
+            type(said).__name__,
+            dict(ground.servers["c1"].client_listener.links.of),
+        )
 
     crowd, school, left = play.in_memory(day, work)
     assert (crowd.count("Welcome"), school, left) == (14, "Welcome", {"school": 1})
@@ -689,7 +693,7 @@
             except CONNECTION_ERRORS:
                 pass
         await anyio.sleep(0.5)
-        return len(known), len(ground.servers["c1"].front.clients), judged(ground, day)
+        return len(known), len(ground.servers["c1"].client_listener.clients), judged(ground, day)
 
     known, clients, breaches = play.in_memory(day, work)
     assert (known, clients) == (8, 10) and not breaches
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -30,7 +30,7 @@
 def test_a_name_without_end_is_turned_away_in_few_bytes(field):
     d = CheckedEngine()
     turned = d.of_type(effects.DeclineJob, d.submit_job(1.0, **{field: "\0" * 400_000}))
-    assert len(turned) == 1 and len(encode(translate.to_client(turned[0]))) < 1000
+    assert len(turned) == 1 and len(encode(translate.message_for_client(turned[0]))) < 1000
     assert d.of_type(effects.SendLaunch, d.submit_job(1.1, key="other"))
     d.check_rules(10)
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,7 +24,7 @@
 from linedeal.protocol import pb
 from linedeal.settings.cluster import read_cluster
 from linedeal.settings.records import CouncilSettings
-from linedeal.state import StoreFault
+from linedeal.state import StoreError
 
 LEASE = 2.0
 COUNCIL = f"""
@@ -374,7 +374,7 @@
 
                     def full(disk, keeps):
                         monkeypatch.setattr(CouncilDisk, "write", real)
-                        raise StoreFault("disk full")
+                        raise StoreError("disk full")
 
                     monkeypatch.setattr(CouncilDisk, "write", full)
                     change = pb.CouncilAsk(kind=pb.CHANGE, key="x", id="x2", expect=1, body=b"y")
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -49,7 +49,7 @@
 def test_a_random_body_in_a_good_frame_too(body):
     for form in (frames.PLAIN, frames.PACKED):
         try:
-            list(FrameReader().feed(frames.HEAD.pack(len(body), form) + body))
+            list(FrameReader().feed(frames.HEADER.pack(len(body), form) + body))
         except FrameError as error:
             assert "\n" not in str(error)
 
@@ -57,10 +57,10 @@
 @pytest.mark.parametrize(
     "data, said",
     [
-        (frames.HEAD.pack(frames.MOST + 1, 0), "at most"),
-        (frames.HEAD.pack(1, 7) + b"x", "unknown form"),
-        (frames.HEAD.pack(2, 0) + b"\xff\xff", "holds no message"),
-        (frames.HEAD.pack(3, 1) + b"abc", "cannot be unpacked"),
+        (frames.HEADER.pack(frames.MOST + 1, 0), "at most"),
+        (frames.HEADER.pack(1, 7) + b"x", "unknown form"),
+        (frames.HEADER.pack(2, 0) + b"\xff\xff", "holds no message"),
+        (frames.HEADER.pack(3, 1) + b"abc", "cannot be unpacked"),
     ],
 )
 def test_each_fault_is_named(data, said):
@@ -71,7 +71,7 @@
 def test_a_small_frame_that_unpacks_to_much_is_refused(monkeypatch):
     # guards against a peer that fills our memory with a few bytes
     monkeypatch.setattr(frames, "MOST_UNPACKED", 10_000)
-    big = encode(pb.Bye(reason="x" * 50_000), pack=True)
+    big = encode(pb.Bye(reason="x" * 50_000), compress=True)
     assert len(big) < 200
     with pytest.raises(FrameError, match="more than"):
         list(FrameReader().feed(big))
@@ -86,10 +86,10 @@
 
 def test_what_a_later_version_adds_is_passed_over():
     # field 90 of the envelope, and field 90 of a probe: neither is known here
-    unknown_message = frames.HEAD.pack(4, 0) + b"\xd2\x05\x01x"
+    unknown_message = frames.HEADER.pack(4, 0) + b"\xd2\x05\x01x"
     probe = pb.Probe(number=4).SerializeToString() + b"\xd0\x05\x01"
     body = bytes([19 << 3 & 0x7F | 2 | 0x80, 19 >> 4, len(probe)]) + probe
-    out = list(FrameReader().feed(unknown_message + frames.HEAD.pack(len(body), 0) + body))
+    out = list(FrameReader().feed(unknown_message + frames.HEADER.pack(len(body), 0) + body))
     assert out[0] is None and out[1].number == 4
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -13,7 +13,7 @@
 from linedeal import interface as api
 from linedeal.controller.hostlink import HostLink
 from linedeal.loop.inbox import Inbox
-from linedeal.controller.runtime import Halted, Runtime, Setup
+from linedeal.controller.runtime import HaltedError, Runtime, Setup
 from linedeal.engine import effects
 from linedeal.engine import events
 from linedeal.net import Link, LinkLostError, TcpNet
@@ -41,7 +41,7 @@
 )
 GARBAGE = [
     random.Random(1).randbytes(64),
-    frames.HEAD.pack(frames.MOST + 1, 0),
+    frames.HEADER.pack(frames.MOST + 1, 0),
     encode(pb.Probe(number=1))[:-1],
     encode(pb.Hello(version=1, role=pb.CLIENT, name="x")) * 2,
     encode(pb.Answer(key="k")),
@@ -326,7 +326,7 @@
 
     with anyio.fail_after(5), pytest.raises(BaseExceptionGroup) as caught:
         await life()
-    assert isinstance(unwrap(caught.value), Halted) and "life 9" in str(unwrap(caught.value))
+    assert isinstance(unwrap(caught.value), HaltedError) and "life 9" in str(unwrap(caught.value))
 
 
 async def test_a_client_that_goes_takes_its_job_back(cluster):
@@ -383,7 +383,7 @@
 
             tasks.start_soon(ask)
             await cluster.until(lambda: cluster.runtime.engine.unanswered)
-            cluster.runtime.leave()
+            cluster.runtime.shut_down()
             with pytest.raises(ClientLost, match="ends"):
                 async with cluster.client():
                     pass
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -18,7 +18,7 @@
 from linedeal.engine.control import OrderKind
 from linedeal.settings.cluster import parse_cluster
 from linedeal.state import Store
-from linedeal.state.journal import Journal, to_keep
+from linedeal.state.journal import Journal, effects_to_persist
 from tests.engine_driver import CLUSTER
 
 RUNS = int(os.environ.get("LINEDEAL_MODEL_RUNS", "150"))
@@ -62,7 +62,7 @@
     def begin(self):
         self.store = Store(Path(self.place.name))
         self.life = self.store.next_life()
-        self.journal = Journal(self.store, spare=1 << 16)
+        self.journal = Journal(self.store, reserve_bytes=1 << 16)
         self.engine = Engine(self.cluster, "c", self.life, 7, self.now)
         found = self.journal.read(self.now, EXPIRY)
         self.engine.recover(found.open, found.answers)
@@ -89,7 +89,7 @@
         for event in received:
             self.engine.put(event)
         emitted = self.engine.step(self.now)
-        keep = to_keep(emitted)
+        keep = effects_to_persist(emitted)
         units = [lambda: self.journal.write(self.now, self.life, keep)] if keep else []
         units += [lambda effect=effect: self.carry(effect) for effect in emitted]
         for unit in units:
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -19,7 +19,7 @@
 from linedeal.engine.recovery import StoredAnswer, OldLaunch, OpenJob
 from linedeal.interface import Effect
 from linedeal.protocol import pb
-from linedeal.settings.cluster import ConfigFault, parse_cluster
+from linedeal.settings.cluster import ConfigError, parse_cluster
 from linedeal.settings import keys as keys_of_customers
 from linedeal.settings.keys import Keys, hash_of
 from tests.engine_driver import CLUSTER, EngineDriver
@@ -312,9 +312,9 @@
         and keys_of_customers.admit(keys, "", "") == ""
     )
     for customer, token in (("school", "wrong"), ("school", ""), ("shop", "secret"), ("", "secret")):
-        with pytest.raises(keys_of_customers.NotAdmitted):
+        with pytest.raises(keys_of_customers.AuthenticationError):
             keys_of_customers.admit(keys, customer, token)
-    with pytest.raises(keys_of_customers.NotAdmitted):
+    with pytest.raises(keys_of_customers.AuthenticationError):
         keys_of_customers.admit(replace(keys, needed=True), "shop", "")
     assert owners.qualified("", "school/s") != owners.qualified("school", "s")
 
@@ -326,7 +326,7 @@
         keys_of_customers.hmac, "compare_digest", lambda a, b: compared.append((a, b)) or a == b
     )
     keys_of_customers.admit(Keys({"school": hash_of("x")}), "school", "x")
-    with pytest.raises(keys_of_customers.NotAdmitted):
+    with pytest.raises(keys_of_customers.AuthenticationError):
         keys_of_customers.admit(Keys({"school": hash_of("x")}), "nobody", "x")
     assert len(compared) == 2  # an unknown customer costs the same
 
@@ -340,7 +340,7 @@
     ],
 )
 def test_faulty_keys_are_named(text, said):
-    with pytest.raises(ConfigFault, match=said):
+    with pytest.raises(ConfigError, match=said):
         parse_cluster(CLUSTER + text)
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -12,8 +12,8 @@
 from linedeal.engine.recovery import HostInventory, OldLaunch, OpenJob, Step, next_step
 from linedeal.interface import Effect
 from linedeal.settings.cluster import parse_cluster
-from linedeal.state import Store, StoreFault
-from linedeal.state.journal import Journal, JournalFull, to_keep
+from linedeal.state import Store, StoreError
+from linedeal.state.journal import Journal, JournalFull, effects_to_persist
 from tests.engine_driver import CLUSTER, EngineDriver
 
 JOB = api.Job("c.1.1", "feed", "", "s", 1.0, 1.0, 9.0)
@@ -114,14 +114,14 @@
 def test_a_turn_is_kept_whole_or_not_at_all(tmp_path):
     journal = Journal(Store(tmp_path))
     journal.write(100.0, 1, [launch(1)])
-    with pytest.raises(StoreFault, match="controller.db: journal cannot be written"):
+    with pytest.raises(StoreError, match="controller.db: journal cannot be written"):
         journal.write(100.0, 1, [take(), launch(1)])  # the same launch number again
     assert journal.read(100.0, 6.0).open == ()
     journal.write(100.0, 1, [take()])  # and it goes on
 
 
 def test_a_full_disk_is_a_plain_message(tmp_path):
-    journal = Journal(Store(tmp_path), most=1 << 18, spare=1 << 16)
+    journal = Journal(Store(tmp_path), max_bytes=1 << 18, reserve_bytes=1 << 16)
     assert journal.spare_path.stat().st_size == 1 << 16
     number = 0
     while not journal.full:
@@ -138,7 +138,7 @@
 
 def test_a_journal_near_its_bound_counts_as_full_until_there_is_room(tmp_path):
     # guards against going to and fro at the bound: it is full past nine tenths, has room under eight
-    journal = Journal(Store(tmp_path), most=1 << 18)
+    journal = Journal(Store(tmp_path), max_bytes=1 << 18)
     jobs = 0
     while not journal.look():
         jobs += 20
@@ -154,7 +154,7 @@
     journal = Journal(Store(tmp_path))
     journal.write(1.0, 1, [take()])
     journal.db.execute("UPDATE jobs SET job = x'00'")
-    with pytest.raises(StoreFault, match="checksum"):
+    with pytest.raises(StoreError, match="checksum"):
         journal.read(1.0, 6.0)
 
 
@@ -166,7 +166,7 @@
     d = EngineDriver(life=1)
 
     def step(emitted, now):
-        journal.write(now, d.engine.life, to_keep(emitted))
+        journal.write(now, d.engine.life, effects_to_persist(emitted))
 
     for i in range(5):
         sent = d.step(1.0, events.Submitted(1, f"k{i}", "web", "", "v", 1.0, 1.0, 0.0, "s"))
@@ -198,8 +198,8 @@
 def test_a_sessions_job_is_kept_before_it_shows():
     d = EngineDriver()
     emitted = ask(d, 1.0)
-    assert [type(effect) for effect in to_keep(emitted)] == [effects.AcceptJob, effects.SendLaunch]
-    assert not to_keep(d.submit(1.0, key="other"))  # without a session nothing is kept
+    assert [type(effect) for effect in effects_to_persist(emitted)] == [effects.AcceptJob, effects.SendLaunch]
+    assert not effects_to_persist(d.submit(1.0, key="other"))  # without a session nothing is kept
 
 
 def test_the_same_key_joins_and_other_content_is_a_fault():
@@ -273,7 +273,7 @@
                 self.engine.put(event)
             self.events = []
             emitted = self.engine.step(self.now)
-            keep = to_keep(emitted)
+            keep = effects_to_persist(emitted)
             units = (
                 [
                     (
--- a/tests/test_store_and_settings.py
+++ b/tests/test_store_and_settings.py
@@ -15,8 +15,8 @@
 from linedeal.interface import Effect, Mode, TopologyLevel
 from linedeal.lab.day import DayFault, parse_day
 from linedeal.settings import cluster as settings_cluster
-from linedeal.settings.cluster import ConfigFault, parse_cluster, read_cluster
-from linedeal.state import Store, StoreFault, steady, upgrade
+from linedeal.settings.cluster import ConfigError, parse_cluster, read_cluster
+from linedeal.state import Store, StoreError, journal_clock, upgrade
 from linedeal.state.journal import Journal
 from tests.engine_driver import CLUSTER as PLAIN
 
@@ -43,16 +43,16 @@
 
 def test_the_list_comes_back_older(tmp_path):
     store = Store(tmp_path)
-    assert store.last_list(1000.0) == (0, ())
-    store.keep_list(1000.0, 7, (HOST,))
-    version, (host,) = store.last_list(1060.0)
+    assert store.load_host_list(1000.0) == (0, ())
+    store.save_host_list(1000.0, 7, (HOST,))
+    version, (host,) = store.load_host_list(1060.0)
     assert version == 7 and host.age == 160.0 and host.free_memory is None
-    assert store.last_list(900.0)[1][0].age == 100.0  # the clock jumped back: no host grows younger
+    assert store.load_host_list(900.0)[1][0].age == 100.0  # the clock jumped back: no host grows younger
 
 
 def test_two_controllers_never_share_a_directory(tmp_path):
     store = Store(tmp_path)
-    with pytest.raises(StoreFault, match="another controller uses it"):
+    with pytest.raises(StoreError, match="another controller uses it"):
         Store(tmp_path)
     store.close()
     Store(tmp_path).close()
@@ -60,7 +60,7 @@
 
 def test_what_is_no_store_is_named(tmp_path):
     (tmp_path / "controller.db").write_bytes(b"something else entirely" * 100)
-    with pytest.raises(StoreFault, match="controller.db: file is not a database"):
+    with pytest.raises(StoreError, match="controller.db: file is not a database"):
         Store(tmp_path)
 
 
@@ -70,7 +70,7 @@
     db.execute("UPDATE kept SET value = x'63' WHERE name = 'format'")
     db.commit()
     db.close()
-    with pytest.raises(StoreFault, match="format 99, this version reads 1"):
+    with pytest.raises(StoreError, match="format 99, this version reads 1"):
         Store(tmp_path)
 
 
@@ -83,7 +83,7 @@
 
 
 def test_all_faults_are_named_at_once_with_block_and_nearest_key():
-    with pytest.raises(ConfigFault) as caught:
+    with pytest.raises(ConfigError) as caught:
         parse_cluster(
             """
 cluster { 
@@ -116,7 +116,7 @@
 
 
 def test_figures_that_cannot_be_are_named():
-    with pytest.raises(ConfigFault) as caught:
+    with pytest.raises(ConfigError) as caught:
         parse_cluster(
             """
 cluster {
@@ -156,7 +156,7 @@
     ],
 )
 def test_what_is_no_hcl_is_one_plain_line(text, said):
-    with pytest.raises(ConfigFault) as caught:
+    with pytest.raises(ConfigError) as caught:
         parse_cluster(text, "f.hcl")
     assert caught.value.lines[0].startswith(said) and "\n" not in caught.value.lines[0]
 
@@ -239,7 +239,7 @@
 def test_an_upgrade_that_is_cut_short_leaves_the_format_before(tmp_path, monkeypatch):
     old_store(tmp_path)
     monkeypatch.setitem(upgrade.STEPS, 1, (*upgrade.STEPS[1], "SELECT 1 FROM nowhere"))
-    with pytest.raises(StoreFault, match="cannot be brought from format 1 to 2: no such table"):
+    with pytest.raises(StoreError, match="cannot be brought from format 1 to 2: no such table"):
         Store(tmp_path)
     monkeypatch.undo()
     store = Store(tmp_path)
@@ -249,7 +249,7 @@
 
 def test_a_torn_page_is_a_plain_message(tmp_path):
     store = Store(tmp_path)
-    journal = Journal(store, spare=1 << 16)
+    journal = Journal(store, reserve_bytes=1 << 16)
     journal.write(
         1.0,
         1,
@@ -271,9 +271,9 @@
             store = None
             try:
                 store = Store(tmp_path)
-                found = Journal(store, spare=1 << 16).read(2.0, 60.0)
+                found = Journal(store, reserve_bytes=1 << 16).read(2.0, 60.0)
                 assert len(found.open) == 300  # what was torn held nothing
-            except StoreFault as error:
+            except StoreError as error:
                 assert "controller.db: " in str(error) and "\n" not in str(error)
             finally:
                 if store is not None:
@@ -281,10 +281,10 @@
 
 
 def test_the_journals_clock_goes_on_over_lives_and_jumps(tmp_path):
-    first = steady.go_on(None, "m", 500.0, 10_000.0, 0.0)
+    first = journal_clock.resume(None, "m", 500.0, 10_000.0, 0.0)
     store = Store(tmp_path)
-    store.keep_clock(first.base)
-    journal = Journal(store, spare=1 << 16)
+    store.save_clock(first.base)
+    journal = Journal(store, reserve_bytes=1 << 16)
     job = api.Job("c.1.1", "mail", "", "s", 1.0, 1.0, 9.0)
     journal.write(
         first.at(500.0),
@@ -298,7 +298,9 @@
         ("n", 5.0, 10_030.0, 30.0),
         ("n", 5.0, 6_400.0, float("inf")),
     ):  # after a start of the machine it does
-        clock = steady.go_on(store.clock(), machine, monotonic, time_of_day, journal.last_written())
+        clock = journal_clock.resume(
+            store.load_clock(), machine, monotonic, time_of_day, journal.last_written()
+        )
         (found,) = journal.read(clock.at(monotonic), 60.0, clock.doubt).open
         assert found.launches[0].sent_ago == ago and found.expires_in <= 60.0
     store.close()
@@ -313,7 +315,7 @@
     ],
 )
 def test_faulty_bounds_of_the_journal_are_named(text, said):
-    with pytest.raises(ConfigFault, match=said):
+    with pytest.raises(ConfigError, match=said):
         parse_cluster(PLAIN + text)
 
 
@@ -377,7 +379,7 @@
         text = SMALL[:start] + kept + f"  {line}\n" + SMALL[end:]
     else:
         text = SMALL + f"{block} {{\n  {line}\n}}\n"
-    with pytest.raises(ConfigFault) as caught:
+    with pytest.raises(ConfigError) as caught:
         parse_cluster(text)
     assert all(len(said) < 200 and "\n" not in said for said in caught.value.lines), caught.value.lines
     assert any(key in said and said.startswith(f"cluster.hcl: {block}") for said in caught.value.lines), (
@@ -394,13 +396,13 @@
     ],
 )
 def test_what_does_not_fit_its_offering_is_named_and_not_dropped(line, said):
-    with pytest.raises(ConfigFault, match=said):
+    with pytest.raises(ConfigError, match=said):
         parse_cluster(SMALL.replace('effect = "irreversible"', f'effect = "irreversible"\n  {line}'))
 
 
 def test_a_key_that_left_every_controller_without_hosts_is_unknown():
     # must_ask = false never watched discovery, which tells only watchers
-    with pytest.raises(ConfigFault, match="cluster: unknown key must_ask"):
+    with pytest.raises(ConfigError, match="cluster: unknown key must_ask"):
         parse_cluster(SMALL.replace("controllers = 2", "controllers = 2\n  must_ask = false"))
 
 
@@ -410,7 +412,7 @@
         try:
             parse_cluster(SMALL[:cut])
             sound.append(cut)
-        except ConfigFault as error:
+        except ConfigError as error:
             assert error.lines and all("\n" not in line and len(line) < 300 for line in error.lines)
     # between two blocks it is sound: only the blocks that came before its end are there
     assert all(SMALL[:cut].rstrip().endswith("}") for cut in sound) and len(sound) < 8
@@ -426,7 +428,7 @@
         return parse(text, name)
 
     monkeypatch.setattr(settings_cluster, "parse_cluster", slowly)
-    with pytest.raises(ConfigFault, match="changed while it was read"):
+    with pytest.raises(ConfigError, match="changed while it was read"):
         settings_cluster.read_cluster(path)
     monkeypatch.undo()
     assert settings_cluster.read_cluster(path).settings.quotas == {"paper": 4.0}
