--- a/linedeal/audit/duties.py
+++ b/linedeal/audit/duties.py
@@ -6,7 +6,7 @@
 from linedeal.audit.traffic import CAMPAIGN, NEVER, PLAN, LaunchSeen, OrderSeen, Traffic
 from linedeal.duties import campaign
 from linedeal.duties.campaign import Plan, Progress, Stage
-from linedeal.duties.duty import Refusal, decoded
+from linedeal.duties.duty import DutyError, decode
 from linedeal.interface import Effect
 from linedeal.protocol import pb
 from linedeal.settings.records import Cluster
@@ -78,8 +78,8 @@
     for change in traffic.changes:
         if change.key == CAMPAIGN:
             try:
-                found.append((change.t, change.made, campaign.read(decoded(change.body).progress, Progress)))
-            except Refusal:
+                found.append((change.t, change.made, campaign.decode(decode(change.body).progress, Progress)))
+            except DutyError:
                 pass  # refused by whoever reads it, too
     return found
 
@@ -170,7 +170,7 @@
                 "limit",
                 order.told,
                 f"{len(away)} hosts are out as {order.host} drains "
-                f"({campaign.named(away)}), {bounds.most} may be",
+                f"({campaign.format_hosts(away)}), {bounds.most} may be",
             )
         if plan is not None and len(cells := {plan.fleet[host][1] for host in away}) > bounds.cells:
             yield DutyBreach(
@@ -216,7 +216,7 @@
 
 def plans_of(traffic: Traffic) -> dict[str, Plan]:
     plans = [
-        campaign.read(change.body, Plan)
+        campaign.decode(change.body, Plan)
         for change in traffic.changes
         if change.key == PLAN and change.made < NEVER
     ]
--- a/linedeal/cli_campaign.py
+++ b/linedeal/cli_campaign.py
@@ -19,12 +19,12 @@
     fleet.add_typer(campaign, name="campaign")
 
     def told(cluster, key, work):
-        from linedeal.duties.duty import Refusal
+        from linedeal.duties.duty import DutyError
         from linedeal.fleet.operator import Unlearned
 
         try:
             return asked(cluster, key, work)
-        except (Refusal, Unlearned) as error:
+        except (DutyError, Unlearned) as error:
             raise fault(str(error), 1) from None
 
     @campaign.command(
@@ -117,7 +117,7 @@
     )
     def status(cluster: Cluster, key: Key = None, within: Within = 2.0, as_json: Json = False):
         """How the campaign stands: who owns it, which hosts are out, and why no further one is begun."""
-        from linedeal.duties.campaign import counted
+        from linedeal.duties.campaign import describe_progress
         from linedeal.fleet import operator
 
         stands = told(cluster, key, lambda asker, settings: operator.standing(asker, within))
@@ -145,7 +145,7 @@
                 )
             )
         else:
-            print(counted(plan, progress))
+            print(describe_progress(plan, progress))
             print(f"owned by {stands.duty.owner or 'nobody'}, token {stands.duty.token}")
 
     def wish_command(name: str, want: str, says: str, means: str) -> None:
--- a/linedeal/cli_fleet.py
+++ b/linedeal/cli_fleet.py
@@ -130,7 +130,7 @@
             found = {}
             for name in DUTIES:
                 told = await asker.read(name, within / len(DUTIES))
-                found[name] = kept.decoded(told.value.body) if told.outcome is Outcome.READ else None
+                found[name] = kept.decode(told.value.body) if told.outcome is Outcome.READ else None
             return found
 
         found = asked(cluster, key, work)
@@ -172,7 +172,7 @@
         within: Within = 5.0,
     ):
         """Takes a duty from its owner. What the owner still sends is refused once the next has begun."""
-        from linedeal.duties.duty import Refusal
+        from linedeal.duties.duty import DutyError
         from linedeal.fleet import operator
         from linedeal.fleet.office import DUTIES
 
@@ -182,7 +182,7 @@
             was = asked(
                 cluster, key, lambda asker, settings: operator.hand(asker, f"duty/{duty}", to, within)
             )
-        except (Refusal, operator.Unlearned) as error:
+        except (DutyError, operator.Unlearned) as error:
             raise fault(str(error), 1) from None
         print(f"{duty} is taken from {was.owner}")
 
@@ -194,12 +194,12 @@
         from linedeal.council.records import Outcome
         from linedeal.duties import census as sums
 
-        told = asked(cluster, key, lambda asker, settings: asker.read(sums.RESULT, within))
+        told = asked(cluster, key, lambda asker, settings: asker.read(sums.CENSUS_KEY, within))
         if told.outcome is not Outcome.READ:
             raise fault(f"no census: {told.outcome.value}" + "".join(f"; {one}" for one in told.silent), 1)
         if not told.value.body:
             raise fault("no census was made yet", 1)
-        found = sums.read(told.value.body, sums.Census)
+        found = sums.decode(told.value.body, sums.Census)
         if as_json:
             print(json.dumps(asdict(found)))
             return
--- a/linedeal/council/member.py
+++ b/linedeal/council/member.py
@@ -1,6 +1,6 @@
 """One member of the council: packets, asks and time in; what to keep, to send and to answer out. No I/O, no clock.
 
-The caller carries out what a call returns in order, and nothing behind a `Keep` before that is on disk. Where a Keep
+The caller carries out what a call returns in order, and nothing behind a `Persist` before that is on disk. Where a Persist
 fails, it calls `fail` and starts the member anew from what is on disk: memory was ahead of it.
 """
 
@@ -8,28 +8,28 @@
 from dataclasses import dataclass, replace
 from typing import Callable
 
-from linedeal.council import moves, rounds, slots, witness
+from linedeal.council import reconfiguration, rounds, slots, staleness
 from linedeal.council.records import (
     EMPTY,
     MOST_BODY,
     MOST_KEYS,
-    ROSTER,
+    ROSTER_KEY,
     Accept,
     Accepted,
     Agreed,
-    Answer,
-    Ask,
+    Response,
+    Request,
     Ballot,
     Elsewhere,
-    Fault,
+    InvalidRequestError,
     Found,
     Identity,
     Install,
     Installed,
-    Keep,
+    Persist,
     Look,
     Looked,
-    Mark,
+    ReplicaVersion,
     Older,
     Outbid,
     Outcome,
@@ -43,10 +43,10 @@
     Sealed,
     Send,
     Slot,
-    Timing,
+    MemberOptions,
     Value,
 )
-from linedeal.council.rounds import Phase, Round, Told
+from linedeal.council.rounds import Phase, Round, RoundResult
 
 OWN = ""  # the client under whose name a member asks for itself
 MOST_STRANGERS = 32  # directories of no council that are remembered
@@ -58,12 +58,12 @@
     """From this roster to the next."""
 
     roster: Roster
-    states: tuple[tuple[str, moves.State], ...] = ()
-    again_at: float = 0.0
+    states: tuple[tuple[str, reconfiguration.State], ...] = ()
+    retry_at: float = 0.0
 
 
 class Member:
-    """`kept` is what `Keep` wrote: an empty one is a new directory's.
+    """`kept` is what `Persist` wrote: an empty one is a new directory's.
 
     `named` are the members of the cluster file, this one among them; they form the first roster. `spread` gives
     numbers in [0, 1) that differ between members.
@@ -71,15 +71,21 @@
 
     def __init__(
         self,
-        me: Identity,
+        identity: Identity,
         cluster: str,
         named: tuple[str, ...],
         kept: dict[str, object],
         start: int,
         spread: Callable[[], float],
-        timing: Timing = Timing(),
+        timing: MemberOptions = MemberOptions(),
     ):
-        self.me, self.cluster, self.named, self.spread, self.timing = me, cluster, named, spread, timing
+        self.identity, self.cluster, self.named, self.spread, self.timing = (
+            identity,
+            cluster,
+            named,
+            spread,
+            timing,
+        )
         self.roster: Roster = kept.get("roster", NOBODY)
         self.sealed: Roster | None = kept.get(
             "sealed"
@@ -89,7 +95,7 @@
         self.slots: dict[str, Slot] = {
             name[5:]: slot for name, slot in kept.items() if name.startswith("slot/")
         }
-        self.seen: dict[Identity, Mark] = {
+        self.seen: dict[Identity, ReplicaVersion] = {
             Identity(mark.name, mark.incarnation): mark for mark in kept.get("seen", ())
         }
         self.life, self.start, self.born = kept.get("life", 0) + 1, start, kept.get("writes", 0)
@@ -98,12 +104,12 @@
         self.admitted = self.vouched = False
         self.unformed: dict[str, Identity] = {}  # who said it belongs to no council yet
         self.founders: frozenset[str] = frozenset()  # who agreed to the roster we found
-        self.elsewhere: Roster | None = None  # a roster that we are not of
+        self.excluded_by: Roster | None = None  # a roster that we are not of
         self.rounds: dict[str, Round] = {}
-        self.waiting: dict[str, tuple[Ask, ...]] = {}
-        self.move: Move | None = None
+        self.waiting: dict[str, tuple[Request, ...]] = {}
+        self.reconfiguration: Move | None = None
         self.number = self.ballots = 0
-        self.pulse_at = 0.0
+        self.heartbeat_at = 0.0
         self.helped_at: dict[str, float] = {}
         self.ill = ""
         self.out: list = []
@@ -112,15 +118,17 @@
 
     def begin(self, now: float) -> list:
         """First of all calls: this life is kept before it says anything."""
-        self.keep(("life", self.life))
+        self.persist(("life", self.life))
         return self.tick(now)
 
-    def ask(self, ask: Ask, now: float) -> list:
-        """Raises Fault where it can never be done; else there is exactly one Answer, by `ask.until` at the latest."""
+    def submit(self, ask: Request, now: float) -> list:
+        """Raises InvalidRequestError where it can never be done; else there is exactly one Response, by `ask.deadline` at the latest."""
         if ask.change is not None and len(ask.change.body) > MOST_BODY:
-            raise Fault(f"{ask.key}: {len(ask.change.body)} bytes, a register holds {MOST_BODY} at most")
+            raise InvalidRequestError(
+                f"{ask.key}: {len(ask.change.body)} bytes, a register holds {MOST_BODY} at most"
+            )
         if ask.change is not None and ask.key not in self.slots and len(self.slots) >= MOST_KEYS:
-            raise Fault(f"{ask.key}: the council holds {MOST_KEYS} registers already")
+            raise InvalidRequestError(f"{ask.key}: the council holds {MOST_KEYS} registers already")
         if not self.may_vote():
             self.answer(ask, Outcome.UNREADY)
         elif self.crowded(ask.client):
@@ -129,59 +137,59 @@
             self.waiting[ask.key] = (*self.waiting.get(ask.key, ()), ask)
         else:
             self.begin_round(ask, now, 0, 1)
-        return self.done()
+        return self.take_effects()
 
-    def hear(self, packet: Packet, now: float) -> list:
-        if packet.cluster != self.cluster or self.ill or packet.mark.name == self.me.name:
-            return self.done()
-        mark, who = packet.mark, Identity(packet.mark.name, packet.mark.incarnation)
+    def receive(self, packet: Packet, now: float) -> list:
+        if packet.cluster != self.cluster or self.ill or packet.sender.name == self.identity.name:
+            return self.take_effects()
+        mark, who = packet.sender, Identity(packet.sender.name, packet.sender.incarnation)
         if who not in self.seen and who not in self.roster.members and len(self.seen) >= MOST_STRANGERS:
-            return self.done()
-        shown, newest = witness.sight(self.seen.get(who), mark)
-        if shown is witness.Sight.LATE:
+            return self.take_effects()
+        shown, newest = staleness.check_freshness(self.seen.get(who), mark)
+        if shown is staleness.Freshness.STALE:
             self.send(mark.name, Older(newest))
-            return self.done()
-        if shown is witness.Sight.NEWER:
+            return self.take_effects()
+        if shown is staleness.Freshness.NEWER:
             self.seen[who] = newest
             if who in self.roster.members:  # of others nothing is counted but that they are there
                 self.keep_seen()
-        said = packet.said
+        said = packet.message
         HEARD[type(said)](self, who, packet.epoch, said, now)
         self.begin_waiting(now)
-        return self.done()
+        return self.take_effects()
 
     def tick(self, now: float) -> list:
-        """Call it at `next()`, or later."""
+        """Call it at `next_tick()`, or later."""
         if self.ill:
-            return self.done()
-        if now >= self.pulse_at:
-            self.pulse_at = now + self.timing.pulse
+            return self.take_effects()
+        if now >= self.heartbeat_at:
+            self.heartbeat_at = now + self.timing.pulse
             for name in (
-                self.roster if self.roster.epoch else self.elsewhere or NOBODY
+                self.roster if self.roster.epoch else self.excluded_by or NOBODY
             ).names() or self.named:
                 self.send(name, Pulse())
             self.found()
         for key, round in list(self.rounds.items()):
-            if now >= round.ask.until:
-                self.over(key, Told(Outcome.UNKNOWN, EMPTY.value), now)
-            elif now >= round.again_at:
-                self.begin_round(round.ask, now, round.top, round.tries + 1)
+            if now >= round.request.deadline:
+                self.over(key, RoundResult(Outcome.UNKNOWN, EMPTY.value), now)
+            elif now >= round.retry_at:
+                self.begin_round(round.request, now, round.top, round.tries + 1)
         for key, line in list(self.waiting.items()):
             for ask in line:
-                if now >= ask.until:
+                if now >= ask.deadline:
                     self.answer(ask, Outcome.UNKNOWN)
-            self.waiting[key] = tuple(ask for ask in line if now < ask.until)
+            self.waiting[key] = tuple(ask for ask in line if now < ask.deadline)
             if not self.waiting[key]:
                 del self.waiting[key]
         self.go_on_moving(now)
         self.begin_waiting(now)
-        return self.done()
+        return self.take_effects()
 
-    def next(self) -> float:
+    def next_tick(self) -> float:
         """When `tick` is due, on the clock of the calls."""
-        times = [self.pulse_at] + ([self.move.again_at] if self.move else [])
-        times += [round.again_at for round in self.rounds.values()]
-        return min(times + [ask.until for ask in self.asks()])
+        times = [self.heartbeat_at] + ([self.reconfiguration.retry_at] if self.reconfiguration else [])
+        times += [round.retry_at for round in self.rounds.values()]
+        return min(times + [ask.deadline for ask in self.asks()])
 
     def fail(self, why: str) -> list:
         """What was to be kept is not on disk. Says nothing more; what waits gets its answer."""
@@ -190,7 +198,7 @@
         for ask in self.asks():
             self.answer(ask, Outcome.UNKNOWN)
         self.rounds, self.waiting = {}, {}
-        return self.done()
+        return self.take_effects()
 
     def candidates(self) -> dict[str, Identity]:
         """Directories heard of that belong to no council: who may be put into the roster."""
@@ -202,12 +210,12 @@
         All others have to know of this life, as the one that counted its last vote may be any of them. Where one does
         not answer, the operator may vouch for the directory; then a majority is enough.
         """
-        if not self.admitted and self.me in self.roster.members:
+        if not self.admitted and self.identity in self.roster.members:
             missing = len(self.roster.members) - 1 - len(self.known_by)
             self.admitted = not missing or self.vouched and len(self.known_by) + 1 >= self.roster.majority
-        return self.admitted and self.me in self.roster.members and not self.retired and not self.ill
+        return self.admitted and self.identity in self.roster.members and not self.retired and not self.ill
 
-    def vouch(self, now: float) -> list:
+    def confirm_directory(self, now: float) -> list:
         """The operator's word, for this life, that the directory is the one last written and no copy of it."""
         self.vouched = True
         return self.tick(now)
@@ -221,29 +229,31 @@
 
     # --- out
 
-    def done(self) -> list:
+    def take_effects(self) -> list:
         out, self.out = self.out, []
         return out
 
-    def mark(self) -> Mark:
-        return Mark(self.me.name, self.me.incarnation, self.life, self.start, self.born, self.writes)
+    def mark(self) -> ReplicaVersion:
+        return ReplicaVersion(
+            self.identity.name, self.identity.incarnation, self.life, self.start, self.born, self.writes
+        )
 
     def send(self, to: str, said) -> None:
-        if to != self.me.name and not self.ill:
+        if to != self.identity.name and not self.ill:
             self.out.append(Send(to, Packet(self.cluster, self.mark(), self.roster.epoch, said)))
 
-    def keep(self, *records: tuple[str, object]) -> None:
+    def persist(self, *records: tuple[str, object]) -> None:
         self.writes += 1
-        self.out.append(Keep((*records, ("writes", self.writes))))
+        self.out.append(Persist((*records, ("writes", self.writes))))
 
     def keep_seen(self) -> None:
-        self.keep(("seen", tuple(mark for who, mark in self.seen.items() if who in self.roster.members)))
+        self.persist(("seen", tuple(mark for who, mark in self.seen.items() if who in self.roster.members)))
 
-    def answer(self, ask: Ask, outcome: Outcome, value: Value = EMPTY.value) -> None:
+    def answer(self, ask: Request, outcome: Outcome, value: Value = EMPTY.value) -> None:
         if ask.client != OWN:
-            self.out.append(Answer(ask, outcome, value))
+            self.out.append(Response(ask, outcome, value))
 
-    def frozen(self) -> tuple:
+    def state_key(self) -> tuple:
         """All that decides what it does next but the time, hashable."""
         return (
             self.roster,
@@ -262,7 +272,7 @@
             self.founders,
             frozenset(self.rounds.items()),
             frozenset(self.waiting.items()),
-            self.move,
+            self.reconfiguration,
             self.ballots,
             self.ill,
         )
@@ -287,7 +297,7 @@
         if after is None:
             return Outbid(said.round, slot.promised)
         self.slots[said.key] = after
-        self.keep((f"slot/{said.key}", after))
+        self.persist((f"slot/{said.key}", after))
         return reply
 
     def asked_to_vote(self, who: Identity, epoch: int, said, now: float) -> None:
@@ -313,14 +323,14 @@
         round = self.rounds[key]
         wait = self.timing.backoff * 2 ** min(round.tries, 5) * (0.5 + self.spread())
         self.rounds[key] = replace(
-            round, top=max(round.top, said.promised.round), again_at=min(round.again_at, now + wait)
+            round, top=max(round.top, said.promised.round), retry_at=min(round.retry_at, now + wait)
         )
 
     # --- rounds
 
-    def asks(self) -> list[Ask]:
+    def asks(self) -> list[Request]:
         """All that are not answered: those under way, and those that wait."""
-        return [round.ask for round in self.rounds.values()] + [
+        return [round.request for round in self.rounds.values()] + [
             ask for line in self.waiting.values() for ask in line
         ]
 
@@ -331,13 +341,13 @@
             or sum(ask.client == client for ask in asks) >= self.timing.most_of_client
         )
 
-    def begin_round(self, ask: Ask, now: float, top: int, tries: int) -> None:
+    def begin_round(self, ask: Request, now: float, top: int, tries: int) -> None:
         self.number += 1
         self.ballots = max(self.ballots, top, self.slots.get(ask.key, EMPTY).promised.round) + 1
-        ballot = Ballot(self.roster.epoch, self.ballots, self.me.name, self.start)
+        ballot = Ballot(self.roster.epoch, self.ballots, self.identity.name, self.start)
         phase = Phase.LOOK if ask.change is None else Phase.PREPARE
-        again_at = now + self.timing.again * (0.75 + 0.5 * self.spread())
-        self.put_round(ask.key, Round(ask, self.number, ballot, phase, again_at, top=top, tries=tries), now)
+        retry_at = now + self.timing.again * (0.75 + 0.5 * self.spread())
+        self.put_round(ask.key, Round(ask, self.number, ballot, phase, retry_at, top=top, tries=tries), now)
 
     def put_round(self, key: str, round: Round, now: float) -> None:
         """It begins a phase: all members are asked, this one first."""
@@ -349,24 +359,24 @@
         if type(reply) is Outbid:
             self.rounds[key] = replace(round, top=max(round.top, reply.promised.round))
         elif reply is not None:
-            self.count(key, self.me.name, reply, now)
+            self.count(key, self.identity.name, reply, now)
 
     def count(self, key: str, name: str, said, now: float) -> None:
         round = self.rounds[key]
         self.number += 1
-        after = rounds.heard(round, name, said, self.roster.majority, self.number)
-        if type(after) is Told:
+        after = rounds.handle_reply(round, name, said, self.roster.majority, self.number)
+        if type(after) is RoundResult:
             self.over(key, after, now)
         elif after.phase is not round.phase:
             self.put_round(key, after, now)
         else:
             self.rounds[key] = after
 
-    def over(self, key: str, told: Told, now: float) -> None:
-        ask = self.rounds.pop(key).ask
+    def over(self, key: str, told: RoundResult, now: float) -> None:
+        ask = self.rounds.pop(key).request
         self.answer(ask, told.outcome, told.value)
-        if key == ROSTER and told.value.version:
-            self.chosen(moves.decoded(told.value.body), now)
+        if key == ROSTER_KEY and told.value.version:
+            self.chosen(reconfiguration.decode_roster(told.value.body), now)
 
     def begin_waiting(self, now: float) -> None:
         """The first in each register's line, if its turn has come. A loop: an only member ends rounds at once."""
@@ -389,7 +399,7 @@
             if who not in self.roster.members:
                 self.send(who.name, Elsewhere(self.roster))
             elif epoch < self.roster.epoch:
-                self.send(who.name, Install(self.roster, moves.state(self.slots)))
+                self.send(who.name, Install(self.roster, reconfiguration.accepted_state(self.slots)))
         return False
 
     def pulsed(self, who: Identity, epoch: int, said: Pulse, now: float) -> None:
@@ -403,57 +413,57 @@
             self.send(who.name, Pulse(self.seen[who].start))
 
     def told_older(self, who: Identity, epoch: int, said: Older, now: float) -> None:
-        if witness.outdated(self.mark(), said.seen):
+        if staleness.is_outdated(self.mark(), said.seen):
             self.retire(
                 f"{who.name} saw a newer copy of this directory: life {said.seen.life} with "
                 f"{said.seen.writes} writes, this one has life {self.life} from {self.born} writes"
             )
 
     def told_elsewhere(self, who: Identity, epoch: int, said: Elsewhere, now: float) -> None:
-        if said.roster.epoch > self.roster.epoch and self.me not in said.roster.members:
-            self.elsewhere = said.roster
+        if said.roster.epoch > self.roster.epoch and self.identity not in said.roster.members:
+            self.excluded_by = said.roster
             if self.roster.epoch:
                 self.retire(f"replaced: the members are {', '.join(said.roster.names())}")
 
     def retire(self, why: str) -> None:
         if not self.retired:
             self.retired = why
-            self.keep(("retired", why))
+            self.persist(("retired", why))
             self.out.append(Retire(why))
 
     def chosen(self, roster: Roster, now: float) -> None:
-        if roster.epoch == self.roster.epoch + 1 and self.move is None:
-            self.move = Move(roster)
+        if roster.epoch == self.roster.epoch + 1 and self.reconfiguration is None:
+            self.reconfiguration = Move(roster)
             self.go_on_moving(now)
 
     def go_on_moving(self, now: float) -> None:
         """Any member that knows a next roster carries the move through, whoever began it and died."""
         if self.retired or not self.roster.epoch:
             return
-        if self.move is None and self.sealed is not None:
-            self.move = Move(self.sealed)
-        if self.move is None:
-            slot = self.slots.get(ROSTER, EMPTY)
+        if self.reconfiguration is None and self.sealed is not None:
+            self.reconfiguration = Move(self.sealed)
+        if self.reconfiguration is None:
+            slot = self.slots.get(ROSTER_KEY, EMPTY)
             if (
                 slot.value.version
-                and ROSTER not in self.rounds
+                and ROSTER_KEY not in self.rounds
                 and self.may_vote()
-                and moves.decoded(slot.value.body).epoch > self.roster.epoch
+                and reconfiguration.decode_roster(slot.value.body).epoch > self.roster.epoch
             ):
-                self.begin_round(Ask(0, OWN, ROSTER, None, now + 10 * self.timing.again), now, 0, 1)
-        elif now >= self.move.again_at:
-            self.move = replace(self.move, again_at=now + self.timing.again)
+                self.begin_round(Request(0, OWN, ROSTER_KEY, None, now + 10 * self.timing.again), now, 0, 1)
+        elif now >= self.reconfiguration.retry_at:
+            self.reconfiguration = replace(self.reconfiguration, retry_at=now + self.timing.again)
             if self.may_vote():
-                self.seal(self.move.roster)
-                self.count_sealed(self.me.name, moves.state(self.slots))
-            if self.move is not None:
+                self.seal(self.reconfiguration.roster)
+                self.count_sealed(self.identity.name, reconfiguration.accepted_state(self.slots))
+            if self.reconfiguration is not None:
                 for name in self.roster.names():
-                    self.send(name, Seal(self.move.roster))
+                    self.send(name, Seal(self.reconfiguration.roster))
 
     def seal(self, roster: Roster) -> None:
         if self.sealed is None:
             self.sealed = roster
-            self.keep(("sealed", roster))
+            self.persist(("sealed", roster))
 
     def asked_to_seal(self, who: Identity, epoch: int, said: Seal, now: float) -> None:
         """Its vote against the epoch that ends; one that begins the next already has said it with that."""
@@ -462,66 +472,77 @@
             return
         if self.roster.epoch + 1 == said.roster.epoch:
             self.seal(said.roster)
-        self.send(who.name, Sealed(said.roster.epoch, moves.state(self.slots)))
+        self.send(who.name, Sealed(said.roster.epoch, reconfiguration.accepted_state(self.slots)))
 
     def told_sealed(self, who: Identity, epoch: int, said: Sealed, now: float) -> None:
-        if who in self.roster.members and self.move is not None and said.epoch == self.move.roster.epoch:
+        if (
+            who in self.roster.members
+            and self.reconfiguration is not None
+            and said.epoch == self.reconfiguration.roster.epoch
+        ):
             self.count_sealed(who.name, said.state)
 
-    def count_sealed(self, name: str, state: moves.State) -> None:
-        others = tuple(vote for vote in self.move.states if vote[0] != name)
-        self.move = replace(self.move, states=(*others, (name, state)))
-        if len(self.move.states) < self.roster.majority:
+    def count_sealed(self, name: str, state: reconfiguration.State) -> None:
+        others = tuple(vote for vote in self.reconfiguration.states if vote[0] != name)
+        self.reconfiguration = replace(self.reconfiguration, states=(*others, (name, state)))
+        if len(self.reconfiguration.states) < self.roster.majority:
             return
-        roster = self.move.roster
-        merged = moves.merged(state for _, state in self.move.states)
+        roster = self.reconfiguration.roster
+        merged = reconfiguration.merge_states(state for _, state in self.reconfiguration.states)
         for who in roster.members:
-            self.send(who.name, Install(roster, moves.state(merged)))
-        if self.me in roster.members:
+            self.send(who.name, Install(roster, reconfiguration.accepted_state(merged)))
+        if self.identity in roster.members:
             self.install(roster, merged)
 
     def asked_to_install(self, who: Identity, epoch: int, said: Install, now: float) -> None:
-        if self.me in said.roster.members and said.roster.epoch > self.roster.epoch and not self.retired:
+        if (
+            self.identity in said.roster.members
+            and said.roster.epoch > self.roster.epoch
+            and not self.retired
+        ):
             if self.roster.epoch == 0 and said.roster.epoch == 1 and self.agreed != said.roster:
                 return  # the first roster only with everybody's consent
-            self.install(said.roster, moves.merged((moves.state(self.slots), said.state)))
+            self.install(
+                said.roster,
+                reconfiguration.merge_states((reconfiguration.accepted_state(self.slots), said.state)),
+            )
         if said.roster.epoch == self.roster.epoch:
             self.send(who.name, Installed(self.roster.epoch))
 
     def install(self, roster: Roster, slots: dict[str, Slot]) -> None:
-        self.roster, self.slots, self.sealed, self.move = roster, dict(slots), None, None
+        self.roster, self.slots, self.sealed, self.reconfiguration = roster, dict(slots), None, None
         self.known_by = (
             frozenset()
         )  # what was known of us at an earlier roster may be known to none of this one
         self.unformed = {name: who for name, who in self.unformed.items() if who not in roster.members}
         self.seen = {who: mark for who, mark in self.seen.items() if who in roster.members}
-        self.keep(
+        self.persist(
             ("roster", roster),
             ("sealed", None),
             ("seen", tuple(self.seen.values())),
             *((f"slot/{key}", slot) for key, slot in slots.items()),
         )
         for key, round in list(self.rounds.items()):  # its votes are of the epoch that ended
-            self.rounds[key] = replace(round, number=0, votes=(), again_at=0.0)
-        self.pulse_at = 0.0
+            self.rounds[key] = replace(round, number=0, votes=(), retry_at=0.0)
+        self.heartbeat_at = 0.0
 
     def told_installed(self, who: Identity, epoch: int, said: Installed, now: float) -> None:
         """One that has begun helps all others on: a mover that is not of the new roster is done then."""
         if (
-            self.move is not None
-            and said.epoch == self.move.roster.epoch
-            and self.me not in self.move.roster.members
+            self.reconfiguration is not None
+            and said.epoch == self.reconfiguration.roster.epoch
+            and self.identity not in self.reconfiguration.roster.members
         ):
-            self.elsewhere = self.move.roster
-            self.move = None
-            self.retire(f"replaced: the members are {', '.join(self.elsewhere.names())}")
+            self.excluded_by = self.reconfiguration.roster
+            self.reconfiguration = None
+            self.retire(f"replaced: the members are {', '.join(self.excluded_by.names())}")
 
     # --- the first roster: all named members, each agreeing once
 
     def found(self) -> None:
-        if self.roster.epoch or self.retired or self.elsewhere or self.me.name != min(self.named):
+        if self.roster.epoch or self.retired or self.excluded_by or self.identity.name != min(self.named):
             return
-        known = {**self.unformed, self.me.name: self.me}
+        known = {**self.unformed, self.identity.name: self.identity}
         if set(self.named) <= set(known):
             roster = Roster(1, tuple(sorted(known[name] for name in self.named)))
             self.agree(roster)
@@ -533,10 +554,10 @@
     def agree(self, roster: Roster) -> None:
         if self.agreed is None and tuple(sorted(self.named)) == tuple(roster.names()):
             self.agreed = roster
-            self.keep(("agreed", roster))
+            self.persist(("agreed", roster))
 
     def asked_to_agree(self, who: Identity, epoch: int, said: Found, now: float) -> None:
-        if not self.roster.epoch and self.me in said.roster.members:
+        if not self.roster.epoch and self.identity in said.roster.members:
             self.agree(said.roster)
             if self.agreed == said.roster:
                 self.send(who.name, Agreed(said.roster))
--- a/linedeal/council/moves.py
+++ b/linedeal/council/reconfiguration.py
@@ -1,29 +1,29 @@
 """How one roster follows another. Pure functions; the course is:
 
-1. the next roster is chosen in the register `records.ROSTER` of the present epoch, so there is only one;
+1. the next roster is chosen in the register `records.ROSTER_KEY` of the present epoch, so there is only one;
 2. a majority of the present members seal: durably, they vote no more in this epoch, and say what they accepted;
 3. what they say is merged, register by register the vote at the highest ballot, and installed in the new members,
    who vote in the new epoch from then on.
 
 Whatever was chosen was accepted by a majority, which meets the sealed one in a member; so every member of the new epoch
 has it, or what followed it, and so has each who is installed later by one of them. Two who install after different
-majorities may leave different votes that were never chosen: `slots.settled` does not take them for chosen.
+majorities may leave different votes that were never chosen: `slots.chosen_value` does not take them for chosen.
 """
 
 from typing import Iterable
 
-from linedeal.council.records import ROSTER, Ballot, Fault, Identity, Roster, Slot, Value
+from linedeal.council.records import ROSTER_KEY, Ballot, InvalidRequestError, Identity, Roster, Slot, Value
 
 State = tuple[tuple[str, Ballot, Value], ...]
 
 
-def state(slots: dict[str, Slot]) -> State:
+def accepted_state(slots: dict[str, Slot]) -> State:
     return tuple(
         sorted((key, slot.accepted, slot.value) for key, slot in slots.items() if slot.accepted.epoch)
     )
 
 
-def merged(states: Iterable[State]) -> dict[str, Slot]:
+def merge_states(states: Iterable[State]) -> dict[str, Slot]:
     """The slots of a member that begins with these: nothing promised in the new epoch yet."""
     result: dict[str, Slot] = {}
     for one in states:
@@ -33,38 +33,38 @@
     return result
 
 
-def replaced(roster: Roster, old: str, new: Identity) -> Roster:
-    """The next roster. Raises Fault with one plain line.
+def replace_member(roster: Roster, old: str, new: Identity) -> Roster:
+    """The next roster. Raises InvalidRequestError with one plain line.
 
     >>> one = Roster(1, (Identity("a", 1), Identity("b", 2), Identity("c", 3)))
-    >>> replaced(one, "c", Identity("d", 4)).names()
+    >>> replace_member(one, "c", Identity("d", 4)).names()
     ['a', 'b', 'd']
     """
     if old not in roster.names():
-        raise Fault(f"{old} is not a member of the council: {', '.join(roster.names())}")
+        raise InvalidRequestError(f"{old} is not a member of the council: {', '.join(roster.names())}")
     rest = [member for member in roster.members if member.name != old]
     if new.name in [member.name for member in rest]:
-        raise Fault(f"{new.name} is a member of the council already")
+        raise InvalidRequestError(f"{new.name} is a member of the council already")
     if new in roster.members:
-        raise Fault(f"{new.name} is the same member: nothing to replace")
+        raise InvalidRequestError(f"{new.name} is the same member: nothing to replace")
     return Roster(roster.epoch + 1, tuple(sorted((*rest, new))))
 
 
-def encoded(roster: Roster) -> bytes:
+def encode_roster(roster: Roster) -> bytes:
     """As the register holds it.
 
-    >>> decoded(encoded(Roster(2, (Identity("a", 1),))))
+    >>> decode_roster(encode_roster(Roster(2, (Identity("a", 1),))))
     Roster(epoch=2, members=(Identity(name='a', incarnation=1),))
     """
     lines = [str(roster.epoch)] + [f"{member.incarnation} {member.name}" for member in roster.members]
     return "\n".join(lines).encode()
 
 
-def decoded(body: bytes) -> Roster:
-    """Raises Fault where the register holds anything else."""
+def decode_roster(body: bytes) -> Roster:
+    """Raises InvalidRequestError where the register holds anything else."""
     try:
         epoch, *lines = body.decode().split("\n")
         members = [line.split(" ", 1) for line in lines]
         return Roster(int(epoch), tuple(Identity(name, int(incarnation)) for incarnation, name in members))
     except ValueError:
-        raise Fault(f"{ROSTER} holds no roster: {body[:80]!r}") from None
+        raise InvalidRequestError(f"{ROSTER_KEY} holds no roster: {body[:80]!r}") from None
--- a/linedeal/council/records.py
+++ b/linedeal/council/records.py
@@ -10,10 +10,10 @@
 RECENT = 32  # versions of a register whose change is remembered by its id
 MOST_KEYS = 64  # registers a council holds; all of them together fit into one frame
 MOST_BODY = 8192  # bytes of one register's value
-ROSTER = "council/roster"  # the register that says which roster comes next
+ROSTER_KEY = "council/roster"  # the register that says which roster comes next
 
 
-class Fault(Exception):
+class InvalidRequestError(Exception):
     """One plain line: what was asked of the council cannot be."""
 
 
@@ -76,7 +76,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Mark:
+class ReplicaVersion:
     """Which life of which directory says something. Counted up durably, so that an older copy shows."""
 
     name: str
@@ -100,12 +100,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class Request:
     number: int  # the asker's, named in the answer
     client: str
     key: str
     change: Change | None  # None: read
-    until: float  # this member's clock, seconds
+    deadline: float  # this member's clock, seconds
 
 
 class Outcome(Enum):
@@ -118,8 +118,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    ask: Ask
+class Response:
+    request: Request
     outcome: Outcome
     value: Value = ABSENT
 
@@ -212,7 +212,7 @@
 class Older:
     """What was last seen of your directory is newer than what you say of it."""
 
-    seen: Mark
+    seen: ReplicaVersion
 
 
 @dataclass(frozen=True, slots=True)
@@ -237,16 +237,16 @@
 @dataclass(frozen=True, slots=True)
 class Packet:
     cluster: str
-    mark: Mark
+    sender: ReplicaVersion
     epoch: int  # of the sender; 0: it belongs to no council yet
-    said: object
+    message: object
 
 
-# what a member wants done, in this order: nothing behind a Keep is carried out before it is on disk
+# what a member wants done, in this order: nothing behind a Persist is carried out before it is on disk
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class Persist:
     records: tuple[tuple[str, object], ...]  # name, value; a name kept before is replaced
 
 
@@ -260,11 +260,11 @@
 class Retire:
     """This directory may vote no more, for this reason; the operator replaces the member."""
 
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
-class Timing:
+class MemberOptions:
     """Seconds, and bounds of what waits."""
 
     pulse: float = 1.0  # between two pulses to a peer
--- a/linedeal/council/rounds.py
+++ b/linedeal/council/rounds.py
@@ -10,7 +10,7 @@
 from linedeal.council.records import (
     Accept,
     Accepted,
-    Ask,
+    Request,
     Ballot,
     Look,
     Looked,
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Round:
-    ask: Ask
+    request: Request
     number: int  # of this try; a reply to another try has another number and is not counted
     ballot: Ballot
     phase: Phase
-    again_at: float  # when the next try begins, if no majority answered
+    retry_at: float  # when the next try begins, if no majority answered
     votes: tuple[tuple[str, Ballot, Value], ...] = ()  # each member's once, whatever arrives twice
     proposal: Value | None = None
     outcome: Outcome | None = None  # what the ask comes to once the proposal is chosen
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class RoundResult:
     """The ask is over."""
 
     outcome: Outcome
@@ -52,15 +52,15 @@
 def message(round: Round) -> Look | Prepare | Accept:
     """What every member is asked in this phase."""
     if round.phase is Phase.LOOK:
-        return Look(round.number, round.ask.key)
+        return Look(round.number, round.request.key)
     if round.phase is Phase.PREPARE:
-        return Prepare(round.number, round.ask.key, round.ballot)
-    return Accept(round.number, round.ask.key, round.ballot, round.proposal)
+        return Prepare(round.number, round.request.key, round.ballot)
+    return Accept(round.number, round.request.key, round.ballot, round.proposal)
 
 
-def heard(
+def handle_reply(
     round: Round, name: str, said: Looked | Promised | Accepted, majority: int, number: int
-) -> Round | Told:
+) -> Round | RoundResult:
     """The round after a member's reply. `number` is that of the next try, should this reply begin one."""
     expected = {Phase.LOOK: Looked, Phase.PREPARE: Promised, Phase.ACCEPT: Accepted}[round.phase]
     if (
@@ -75,27 +75,27 @@
         round = replace(round, votes=(*round.votes, (name, said.accepted, said.value)))
     if len(round.votes) < majority:
         return round
-    return AFTER[round.phase](round, number)
+    return FINISH_PHASE[round.phase](round, number)
 
 
-def looked(round: Round, number: int) -> Round | Told:
-    value = slots.settled([vote[1:] for vote in round.votes], round.ballot.epoch)
+def finish_look(round: Round, number: int) -> Round | RoundResult:
+    value = slots.chosen_value([vote[1:] for vote in round.votes], round.ballot.epoch)
     if value is not None:
-        return Told(Outcome.READ, value)
+        return RoundResult(Outcome.READ, value)
     return replace(round, phase=Phase.PREPARE, number=number, votes=())
 
 
-def promised(round: Round, number: int) -> Round:
+def finish_prepare(round: Round, number: int) -> Round:
     """Propose: the change made to what was accepted last, or just that, so that what is told is chosen for sure."""
-    _, value = slots.newest(vote[1:] for vote in round.votes)
+    _, value = slots.highest_vote(vote[1:] for vote in round.votes)
     outcome = Outcome.READ
-    if round.ask.change is not None:
-        outcome, value = slots.changed(value, round.ask.change)
+    if round.request.change is not None:
+        outcome, value = slots.apply_change(value, round.request.change)
     return replace(round, phase=Phase.ACCEPT, number=number, votes=(), proposal=value, outcome=outcome)
 
 
-def accepted(round: Round, number: int) -> Told:
-    return Told(round.outcome, round.proposal)
+def finish_accept(round: Round, number: int) -> RoundResult:
+    return RoundResult(round.outcome, round.proposal)
 
 
-AFTER = {Phase.LOOK: looked, Phase.PREPARE: promised, Phase.ACCEPT: accepted}
+FINISH_PHASE = {Phase.LOOK: finish_look, Phase.PREPARE: finish_prepare, Phase.ACCEPT: finish_accept}
--- a/linedeal/council/slots.py
+++ b/linedeal/council/slots.py
@@ -16,12 +16,12 @@
     return Slot(ballot, ballot, value) if ballot >= slot.promised else None
 
 
-def newest(votes: Iterable[tuple[Ballot, Value]]) -> tuple[Ballot, Value]:
+def highest_vote(votes: Iterable[tuple[Ballot, Value]]) -> tuple[Ballot, Value]:
     """What must be carried on: the value accepted at the highest ballot. Equal ballots have equal values."""
     return max(votes, key=lambda vote: vote[0], default=(ZERO, EMPTY.value))
 
 
-def settled(votes: list[tuple[Ballot, Value]], epoch: int) -> Value | None:
+def chosen_value(votes: list[tuple[Ballot, Value]], epoch: int) -> Value | None:
     """The value a majority's looks show to be chosen; None where that cannot be told from them.
 
     Votes of an earlier epoch do not show it: members took them over at a move, and need not have cast them.
@@ -32,13 +32,13 @@
     return None
 
 
-def changed(value: Value, change: Change) -> tuple[Outcome, Value]:
+def apply_change(value: Value, change: Change) -> tuple[Outcome, Value]:
     """What the change makes of the value. Asked for again after it was made, it is DONE and changes nothing.
 
     A change made could only make version `expect` + 1; whose change made that is remembered for a while.
 
-    >>> outcome, one = changed(Value(), Change("a", 0, b"1"))
-    >>> [changed(one, Change("a", 0, b"1"))[0].name, changed(one, Change("b", 0, b"2"))[0].name]
+    >>> outcome, one = apply_change(Value(), Change("a", 0, b"1"))
+    >>> [apply_change(one, Change("a", 0, b"1"))[0].name, apply_change(one, Change("b", 0, b"2"))[0].name]
     ['DONE', 'CONFLICT']
     """
     if value.version == change.expect:
--- a/linedeal/council/witness.py
+++ b/linedeal/council/staleness.py
@@ -8,29 +8,29 @@
 from dataclasses import replace
 from enum import Enum
 
-from linedeal.council.records import Mark
+from linedeal.council.records import ReplicaVersion
 
 
-class Sight(Enum):
+class Freshness(Enum):
     KNOWN = "this life, nothing newer"
     NEWER = "to be kept before it is counted"
-    LATE = "of an earlier life, or of an older copy: not counted, and told so"
+    STALE = "of an earlier life, or of an older copy: not counted, and told so"
 
 
-def sight(seen: Mark | None, mark: Mark) -> tuple[Sight, Mark]:
+def check_freshness(seen: ReplicaVersion | None, mark: ReplicaVersion) -> tuple[Freshness, ReplicaVersion]:
     """What the mark shows beside the newest one seen of the same directory, and which is the newest then."""
     if seen is None:
-        return Sight.NEWER, mark
+        return Freshness.NEWER, mark
     if mark.start == seen.start:
         if mark.writes <= seen.writes:
-            return Sight.KNOWN, seen
-        return Sight.NEWER, replace(seen, writes=mark.writes)
+            return Freshness.KNOWN, seen
+        return Freshness.NEWER, replace(seen, writes=mark.writes)
     if mark.life > seen.life and mark.born >= seen.writes:
-        return Sight.NEWER, mark
-    return Sight.LATE, seen
+        return Freshness.NEWER, mark
+    return Freshness.STALE, seen
 
 
-def outdated(mine: Mark, seen: Mark) -> bool:
+def is_outdated(mine: ReplicaVersion, seen: ReplicaVersion) -> bool:
     """Whether another's word of what it saw of this directory proves that this one is an older copy.
 
     Word of an earlier life of ours, come late, proves nothing: it says fewer writes than we were born with.
--- a/linedeal/duties/campaigner.py
+++ b/linedeal/duties/campaign_runner.py
@@ -9,28 +9,28 @@
 from enum import Enum
 
 from linedeal.duties import campaign
-from linedeal.duties.campaign import Look, Plan, Progress, Seen, Stage, View
+from linedeal.duties.campaign import DrainState, Plan, Progress, HostState, Stage, ClusterView
 from linedeal.duties.census import Census
 from linedeal.settings.records import Bounds
 
 KEEP_EVERY = 10.0  # seconds between two writes of how long each host has been out
 
 
-class Kind(Enum):
+class OrderKind(Enum):
     DRAIN = "to the host: take nothing new; tells what it still holds"
     REPLACE = "to the operators' tool: replace this boot of the host"
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    kind: Kind
+    kind: OrderKind
     campaign: str
     host: str
     boot: int
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class OrderReply:
     """What a host or the tool said to an order: whether it stands, and the host as it is."""
 
     done: bool
@@ -38,17 +38,17 @@
     draining: bool = False
     jobs: int = 0
     irreversible: int = 0
-    why: str = ""
+    reason: str = ""
 
 
-class Campaigner:
+class CampaignRunner:
     """`progress` is the duty's as it was gained; `news`: seconds after which list or census are too old to go by."""
 
     def __init__(self, progress: Progress, now: float, news: float = 15.0):
         self.news = news
-        self.stands = progress  # as it stands in the council
+        self.stored = progress  # as it stands in the council
         self.counted_from = now  # when `stands` was written: its hosts' times count from then
-        self.looks: dict[str, Look] = {}
+        self.looks: dict[str, DrainState] = {}
         self.heard: dict[str, float] = {}  # when each host that is out said something, or went out
         self.replaced: set[tuple[str, int]] = set()
         self.others: dict[str, int] = {}
@@ -57,34 +57,34 @@
         self.census: Census | None = None
         self.last_census: Census | None = None
         self.census_at = now
-        self.troubles: dict[str, str] = {}  # why the last order about a host was not carried out
+        self.order_errors: dict[str, str] = {}  # why the last order about a host was not carried out
 
-    def hear(self, census: Census, now: float) -> None:
+    def receive_census(self, census: Census, now: float) -> None:
         """A new one; two in a row of one owner show what went on between them."""
         if self.census is None or (census.token, census.number) > (self.census.token, self.census.number):
             self.last_census, self.census, self.census_at = self.census, census, now
 
     def step(
-        self, plan: Plan, mine: Bounds, seen: dict[str, Seen], list_age: float, now: float
+        self, plan: Plan, mine: Bounds, seen: dict[str, HostState], list_age: float, now: float
     ) -> Progress | None:
         """What is to be written before anything else; None where what stands is right still."""
         spent = now - self.counted_from
-        progress = self.stands if self.stands.id == plan.id else Progress(plan.id)
+        progress = self.stored if self.stored.id == plan.id else Progress(plan.id)
         aged = replace(progress, out=tuple(replace(turn, spent=turn.spent + spent) for turn in progress.out))
         for turn in aged.out:
             self.heard.setdefault(turn.host, now)
         view = self.view(plan, mine, aged, seen, list_age, now)
         after = campaign.decide(plan, aged, mine, view)
-        if bare(after) == bare(self.stands) and (not after.out or spent < KEEP_EVERY):
+        if bare(after) == bare(self.stored) and (not after.out or spent < KEEP_EVERY):
             return None
         return after
 
-    def view(self, plan, mine, progress, seen, list_age, now) -> View:
+    def view(self, plan, mine, progress, seen, list_age, now) -> ClusterView:
         out = {turn.host for turn in progress.out}
-        for kept in (self.looks, self.heard, self.others, self.troubles):
+        for kept in (self.looks, self.heard, self.others, self.order_errors):
             for host in set(kept) - out:
                 del kept[host]
-        view = View(
+        view = ClusterView(
             seen,
             dict(self.looks),
             {host: now - at for host, at in self.heard.items()},
@@ -98,9 +98,9 @@
         self.strained = self.strain(plan.bounds.within(mine).strain)
         return replace(
             view,
-            absent=0.0 if self.absent_since is None else now - self.absent_since,
-            blind=self.blind(list_age, now),
-            strained=self.strained,
+            idle_seconds=0.0 if self.absent_since is None else now - self.absent_since,
+            stale_reason=self.blind(list_age, now),
+            overload_reason=self.strained,
         )
 
     def blind(self, list_age: float, now: float) -> str:
@@ -113,30 +113,30 @@
     def strain(self, limit: float) -> str:
         if self.last_census is None or self.last_census.token != self.census.token:
             return self.strained
-        for share, what in campaign.shares(self.last_census, self.census):
-            if said := campaign.strain(self.strained, share, limit, what):
+        for share, what in campaign.overload_shares(self.last_census, self.census):
+            if said := campaign.check_overload(self.strained, share, limit, what):
                 return said
         return ""
 
-    def written(self, progress: Progress, now: float) -> None:
+    def mark_stored(self, progress: Progress, now: float) -> None:
         """It stands in the council."""
-        self.stands, self.counted_from = progress, now
+        self.stored, self.counted_from = progress, now
 
     def orders(self) -> list[Order]:
         """All that may be ordered now; sent again until it is answered, as any may have been lost."""
         found = []
-        for turn in self.stands.out:
+        for turn in self.stored.out:
             if turn.stage is Stage.DRAINS:
-                found.append(Order(Kind.DRAIN, self.stands.id, turn.host, turn.boot))
+                found.append(Order(OrderKind.DRAIN, self.stored.id, turn.host, turn.boot))
             elif (turn.host, turn.boot) not in self.replaced:
-                found.append(Order(Kind.REPLACE, self.stands.id, turn.host, turn.boot))
+                found.append(Order(OrderKind.REPLACE, self.stored.id, turn.host, turn.boot))
         return found
 
-    def told(self, order: Order, reply: Reply, now: float) -> None:
+    def receive_reply(self, order: Order, reply: OrderReply, now: float) -> None:
         self.heard[order.host] = now
-        self.troubles[order.host] = "" if reply.done else reply.why
-        if order.kind is Kind.DRAIN:
-            self.looks[order.host] = Look(reply.boot, reply.draining, reply.jobs, reply.irreversible)
+        self.order_errors[order.host] = "" if reply.done else reply.reason
+        if order.kind is OrderKind.DRAIN:
+            self.looks[order.host] = DrainState(reply.boot, reply.draining, reply.jobs, reply.irreversible)
         elif reply.done:
             self.replaced.add((order.host, order.boot))
         elif reply.boot not in (0, order.boot):
--- a/linedeal/duties/census.py
+++ b/linedeal/duties/census.py
@@ -8,11 +8,11 @@
 
 import msgspec
 
-from linedeal.duties.duty import Refusal
+from linedeal.duties.duty import DutyError
 
-RESULT = "census"  # the register that holds the last sum
+CENSUS_KEY = "census"  # the register that holds the last sum
 MOST_REPORTS = 900  # controllers whose last report a member keeps; all of them fit into one frame
-MOST_REPORT = 1024  # bytes of one
+MAX_REPORT_BYTES = 1024  # bytes of one
 FRESH = 10.0  # seconds for which a report counts; older: its controller is missing
 FORGET = 600.0  # seconds after which a controller that reports no more is no longer missed
 MOST_NAMED = 64  # missing controllers that are named, the rest are counted
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Kept:
+class ReceivedReport:
     report: Report
     age: float  # seconds since the member heard it
 
@@ -48,15 +48,15 @@
     stands: dict[str, float]
 
 
-def folded(gathered: list[list[Kept]], token: int, number: int) -> Census:
+def merge_reports(gathered: list[list[ReceivedReport]], token: int, number: int) -> Census:
     """Of each controller the newest life's youngest report, whichever member has it.
 
     >>> one, two = Report("c1", 1, {"taken": 2}), Report("c2", 1, {"taken": 3})
-    >>> census = folded([[Kept(one, 0.5), Kept(two, 30.0)], [Kept(one, 9.0)]], 1, 1)
+    >>> census = merge_reports([[ReceivedReport(one, 0.5), ReceivedReport(two, 30.0)], [ReceivedReport(one, 9.0)]], 1, 1)
     >>> census.controllers, census.missing, census.sums
     (1, ('c2',), {'taken': 2})
     """
-    best: dict[str, Kept] = {}
+    best: dict[str, ReceivedReport] = {}
     for kept in (kept for reports in gathered for kept in reports):
         known = best.get(kept.report.controller)
         if known is None or (-kept.report.life, kept.age) < (-known.report.life, known.age):
@@ -83,7 +83,7 @@
     return total
 
 
-class Reports:
+class ReportTable:
     """A member's: the last of each controller. The longest unheard goes where there are too many."""
 
     def __init__(self):
@@ -98,17 +98,17 @@
         if len(self.last) > MOST_REPORTS:
             del self.last[next(iter(self.last))]
 
-    def all(self, now: float) -> list[Kept]:
-        return [Kept(report, now - at) for at, report in self.last.values() if now - at <= FORGET]
+    def all(self, now: float) -> list[ReceivedReport]:
+        return [ReceivedReport(report, now - at) for at, report in self.last.values() if now - at <= FORGET]
 
 
-def encoded(what: Report | Census | list[Kept]) -> bytes:
+def encode(what: Report | Census | list[ReceivedReport]) -> bytes:
     return msgspec.msgpack.encode(what)
 
 
-def read(body: bytes, kind):
-    """Raises Refusal, one plain line."""
+def decode(body: bytes, kind):
+    """Raises DutyError, one plain line."""
     try:
         return msgspec.msgpack.decode(body, type=kind)
     except msgspec.DecodeError as error:
-        raise Refusal(f"no {getattr(kind, '__name__', 'list')}: {error}") from None
+        raise DutyError(f"no {getattr(kind, '__name__', 'list')}: {error}") from None
--- a/linedeal/duties/duty.py
+++ b/linedeal/duties/duty.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-MOST_PROGRESS = 6144  # bytes; the rest of a register's value is the record around it
+MAX_PROGRESS_BYTES = 6144  # bytes; the rest of a register's value is the record around it
 
 
-class Refusal(Exception):
+class DutyError(Exception):
     """One plain line: why the duty does not become that."""
 
 
@@ -24,66 +24,66 @@
     progress: bytes = b""  # the work's own account, kept from owner to owner
 
 
-def acquired(duty: Duty, who: str, lease: float, over: bool) -> Duty:
+def acquire(duty: Duty, who: str, lease: float, over: bool) -> Duty:
     """`over`: the asker's own clock shows that the owner's lease, or the heir's time, has run out.
 
-    >>> acquired(Duty(), "n1", 5.0, over=False).token
+    >>> acquire(Duty(), "n1", 5.0, over=False).token
     1
     """
     if (
         duty.owner not in ("", who) and not over
     ):  # one that lost sight of its own lease begins with a new token
-        raise Refusal(f"{duty.owner} owns it, token {duty.token}")
+        raise DutyError(f"{duty.owner} owns it, token {duty.token}")
     if duty.heir not in ("", who) and not over:
-        raise Refusal(f"it was handed to {duty.heir}")
+        raise DutyError(f"it was handed to {duty.heir}")
     return Duty(who, duty.token + 1, lease, 0, "", duty.progress)
 
 
-def owned(duty: Duty, who: str, token: int) -> None:
-    """Raises Refusal unless `who` has it by this token."""
+def check_owner(duty: Duty, who: str, token: int) -> None:
+    """Raises DutyError unless `who` has it by this token."""
     if (duty.owner, duty.token) != (who, token):
-        raise Refusal(f"{duty.owner or 'nobody'} owns it by token {duty.token}, not {who} by {token}")
+        raise DutyError(f"{duty.owner or 'nobody'} owns it by token {duty.token}, not {who} by {token}")
 
 
-def renewed(duty: Duty, who: str, token: int, progress: bytes | None = None) -> Duty:
+def renew(duty: Duty, who: str, token: int, progress: bytes | None = None) -> Duty:
     """With new progress, or the old."""
-    owned(duty, who, token)
-    if progress is not None and len(progress) > MOST_PROGRESS:
-        raise Refusal(f"{len(progress)} bytes of progress, at most {MOST_PROGRESS} are kept")
+    check_owner(duty, who, token)
+    if progress is not None and len(progress) > MAX_PROGRESS_BYTES:
+        raise DutyError(f"{len(progress)} bytes of progress, at most {MAX_PROGRESS_BYTES} are kept")
     return replace(duty, beat=duty.beat + 1, progress=duty.progress if progress is None else progress)
 
 
-def released(duty: Duty, who: str, token: int, heir: str = "") -> Duty:
+def release(duty: Duty, who: str, token: int, heir: str = "") -> Duty:
     """Resigned, or handed over to an heir."""
-    owned(duty, who, token)
+    check_owner(duty, who, token)
     return replace(duty, owner="", beat=duty.beat + 1, heir=heir)
 
 
-def taken_away(duty: Duty, heir: str = "") -> Duty:
+def revoke(duty: Duty, heir: str = "") -> Duty:
     """By an operator, from whoever has it. Its owner's next renewal fails; what it sends until then is refused from the
     next owner's first effect on.
 
-    >>> taken_away(Duty("n1", 3, 5.0, 2), "n2")
+    >>> revoke(Duty("n1", 3, 5.0, 2), "n2")
     Duty(owner='', token=3, lease=5.0, beat=3, heir='n2', progress=b'')
     """
     if not duty.owner:
-        raise Refusal("nobody owns it")
+        raise DutyError("nobody owns it")
     return replace(duty, owner="", beat=duty.beat + 1, heir=heir)
 
 
-def encoded(duty: Duty) -> bytes:
+def encode(duty: Duty) -> bytes:
     """
-    >>> decoded(encoded(Duty("n1", 3, 5.0, 2, "", b"x"))) == Duty("n1", 3, 5.0, 2, "", b"x")
+    >>> decode(encode(Duty("n1", 3, 5.0, 2, "", b"x"))) == Duty("n1", 3, 5.0, 2, "", b"x")
     True
     """
     return msgspec.msgpack.encode(duty)
 
 
-def decoded(body: bytes) -> Duty:
-    """Of an empty register: a duty that nobody had yet. Raises Refusal where it holds anything else."""
+def decode(body: bytes) -> Duty:
+    """Of an empty register: a duty that nobody had yet. Raises DutyError where it holds anything else."""
     if not body:
         return Duty()
     try:
         return msgspec.msgpack.decode(body, type=Duty)
     except msgspec.DecodeError as error:
-        raise Refusal(f"the register holds no duty: {error}") from None
+        raise DutyError(f"the register holds no duty: {error}") from None
--- a/linedeal/duties/fence.py
+++ b/linedeal/duties/fence.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from linedeal.duties.duty import Refusal
+from linedeal.duties.duty import DutyError
 
 MOST_DUTIES = 256
 
@@ -18,19 +18,19 @@
     def highest(self, duty: str) -> int:
         return dict(self.tokens).get(duty, 0)
 
-    def passed(self, duty: str, token: int) -> "Fence":
-        """The fence once an effect by this token is let through. Raises Refusal for an old owner's.
+    def admit(self, duty: str, token: int) -> "Fence":
+        """The fence once an effect by this token is let through. Raises DutyError for an old owner's.
 
-        >>> fence = Fence().passed("campaign", 4)
-        >>> fence.passed("campaign", 3)
+        >>> fence = Fence().admit("campaign", 4)
+        >>> fence.admit("campaign", 3)
         Traceback (most recent call last):
-        linedeal.duties.duty.Refusal: campaign: token 3 is an old owner's, 4 was seen
+        linedeal.duties.duty.DutyError: campaign: token 3 is an old owner's, 4 was seen
         """
         highest = self.highest(duty)
         if token < highest:
-            raise Refusal(f"{duty}: token {token} is an old owner's, {highest} was seen")
+            raise DutyError(f"{duty}: token {token} is an old owner's, {highest} was seen")
         if not highest and len(self.tokens) >= MOST_DUTIES:
-            raise Refusal(f"{duty}: tokens of {MOST_DUTIES} duties are kept already")
+            raise DutyError(f"{duty}: tokens of {MOST_DUTIES} duties are kept already")
         if token == highest:
             return self
         return Fence(tuple(sorted((dict(self.tokens) | {duty: token}).items())))
--- a/linedeal/fleet/codec.py
+++ b/linedeal/fleet/codec.py
@@ -2,32 +2,32 @@
 
 import msgspec
 
-from linedeal.council import records as said
-from linedeal.council.records import Identity, Mark, Packet, Roster, Slot
+from linedeal.council import records
+from linedeal.council.records import Identity, ReplicaVersion, Packet, Roster, Slot
 from linedeal.net import FrameError
 
 KINDS = {
     kind.__name__: kind
     for kind in (
-        said.Look,
-        said.Looked,
-        said.Prepare,
-        said.Promised,
-        said.Accept,
-        said.Accepted,
-        said.Outbid,
-        said.Seal,
-        said.Sealed,
-        said.Install,
-        said.Installed,
-        said.Pulse,
-        said.Older,
-        said.Elsewhere,
-        said.Found,
-        said.Agreed,
+        records.Look,
+        records.Looked,
+        records.Prepare,
+        records.Promised,
+        records.Accept,
+        records.Accepted,
+        records.Outbid,
+        records.Seal,
+        records.Sealed,
+        records.Install,
+        records.Installed,
+        records.Pulse,
+        records.Older,
+        records.Elsewhere,
+        records.Found,
+        records.Agreed,
     )
 }
-Form = tuple[str, Mark, int, str, msgspec.Raw]
+Form = tuple[str, ReplicaVersion, int, str, msgspec.Raw]
 KEPT = {
     "life": int,
     "writes": int,
@@ -35,7 +35,7 @@
     "roster": Roster,
     "sealed": Roster | None,
     "agreed": Roster,
-    "seen": tuple[Mark, ...],
+    "seen": tuple[ReplicaVersion, ...],
     "identity": Identity,
     "cluster": str,
 }
@@ -43,12 +43,12 @@
 
 def packed(packet: Packet) -> bytes:
     """
-    >>> packet = Packet("lapa", Mark("a", 1, 2, 3, 4, 5), 1, said.Look(7, "k"))
+    >>> packet = Packet("lapa", ReplicaVersion("a", 1, 2, 3, 4, 5), 1, records.Look(7, "k"))
     >>> unpacked(packed(packet)) == packet
     True
     """
     return msgspec.msgpack.encode(
-        (packet.cluster, packet.mark, packet.epoch, type(packet.said).__name__, packet.said)
+        (packet.cluster, packet.sender, packet.epoch, type(packet.message).__name__, packet.message)
     )
 
 
--- a/linedeal/fleet/disk.py
+++ b/linedeal/fleet/disk.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from linedeal.council.records import Identity, Keep
+from linedeal.council.records import Identity, Persist
 from linedeal.fleet import codec
 from linedeal.state import StoreError, open_database
 
@@ -44,7 +44,7 @@
         """Who this directory is: drawn when it was made. It serves one name in one cluster for ever."""
         if "identity" not in self.kept:
             incarnation = random.SystemRandom().randrange(1, 1 << 62)
-            self.write([Keep((("identity", Identity(name, incarnation)), ("cluster", cluster)))])
+            self.write([Persist((("identity", Identity(name, incarnation)), ("cluster", cluster)))])
             self.kept |= {"identity": Identity(name, incarnation), "cluster": cluster}
         identity = self.kept["identity"]
         if (identity.name, self.kept["cluster"]) != (name, cluster):
@@ -54,7 +54,7 @@
             )
         return identity
 
-    def write(self, keeps: list[Keep]) -> None:
+    def write(self, keeps: list[Persist]) -> None:
         """All of them, in one commit: on disk when this returns."""
         try:
             self.db.execute("BEGIN IMMEDIATE")
--- a/linedeal/fleet/hall.py
+++ b/linedeal/fleet/hall.py
@@ -90,8 +90,8 @@
                     packet = codec.unpacked(message.packet)
                 except FrameError as error:
                     raise LinkLostError(str(error)) from None
-                if packet.mark.name != name:
-                    raise LinkLostError(f"it said hello as {name} and speaks as {packet.mark.name[:64]}")
+                if packet.sender.name != name:
+                    raise LinkLostError(f"it said hello as {name} and speaks as {packet.sender.name[:64]}")
                 await self.heard(packet)
 
     async def serve(self, asker: Asker) -> None:
--- a/linedeal/fleet/hosts.py
+++ b/linedeal/fleet/hosts.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from linedeal.duties.campaign import Mode, Seen
-from linedeal.duties.duty import Refusal
+from linedeal.duties.campaign import Mode, HostState
+from linedeal.duties.duty import DutyError
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,8 +19,8 @@
     address: str  # HOST:PORT; empty: none is known
 
     @property
-    def seen(self) -> Seen:
-        return Seen(self.mode, self.boot, self.age)
+    def seen(self) -> HostState:
+        return HostState(self.mode, self.boot, self.age)
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,8 +41,8 @@
 
 
 def read_hosts(body: bytes) -> HostsNow:
-    """Raises Refusal."""
+    """Raises DutyError."""
     try:
         return msgspec.msgpack.decode(body, type=HostsNow)
     except msgspec.DecodeError as error:
-        raise Refusal(f"no list of hosts: {error}") from None
+        raise DutyError(f"no list of hosts: {error}") from None
--- a/linedeal/fleet/office.py
+++ b/linedeal/fleet/office.py
@@ -11,10 +11,10 @@
 
 import anyio
 
-from linedeal.council.records import Answer, Ask, Change, Outcome
+from linedeal.council.records import Response, Request, Change, Outcome
 from linedeal.duties import census
-from linedeal.duties.duty import Refusal
-from linedeal.duties.holder import Gained, Holder, LeaseTiming, Lost, Saved, Stand
+from linedeal.duties.duty import DutyError
+from linedeal.duties.holder import Gained, Holder, LeaseTiming, Lost, Saved, HolderState
 from linedeal.fleet.asker import Asker, CouncilFault
 from linedeal.fleet.hosts import HostsNow
 from linedeal.fleet.orders import Orderer
@@ -41,7 +41,7 @@
 
     def token(self) -> int:
         """For an effect begun now. Raises NotOwned."""
-        token = self.holder.may_act(anyio.current_time())
+        token = self.holder.fencing_token(anyio.current_time())
         if token is None:
             raise NotOwned
         return token
@@ -72,19 +72,19 @@
                 now = anyio.current_time()
                 self.carry_out(self.holder.tick(now))
                 self.turned = anyio.Event()
-                with anyio.move_on_after(max(0.005, self.holder.next(now) - anyio.current_time())):
+                with anyio.move_on_after(max(0.005, self.holder.next_tick(now) - anyio.current_time())):
                     await self.turned.wait()
 
     def carry_out(self, out: list) -> None:
         for one in out:
-            if type(one) is Ask:
+            if type(one) is Request:
                 self.tasks.start_soon(self.ask, one)
             elif type(one) is Gained:
                 self.log.info("duty gained", duty=self.name, token=one.token)
                 self.owned = Owned(self.holder, one, self.carry_out)
                 self.tasks.start_soon(self.do, self.owned)
             elif type(one) is Lost:
-                self.log.warning("duty lost", duty=self.name, token=one.token, reason=one.why)
+                self.log.warning("duty lost", duty=self.name, token=one.token, reason=one.reason)
                 if self.scope is not None:
                     self.scope.cancel()
             elif type(one) is Saved and self.owned is not None:
@@ -92,14 +92,14 @@
         self.turned.set()
 
     def leave(self) -> None:
-        self.holder.wants = False
+        self.holder.eligible = False
         if self.scope is not None:
             self.scope.cancel()  # nothing of it is ordered any more
-        if self.holder.stand is Stand.OWNS:
+        if self.holder.state is HolderState.OWNING:
             self.carry_out(self.holder.resign(anyio.current_time()))
 
-    async def ask(self, ask: Ask) -> None:
-        within = max(0.05, ask.until - anyio.current_time())
+    async def ask(self, ask: Request) -> None:
+        within = max(0.05, ask.deadline - anyio.current_time())
         try:
             if ask.change is None:
                 told = await self.asker.read(ask.key, within)
@@ -108,7 +108,9 @@
         except CouncilFault as fault:
             self.log.error("council refuses", duty=self.name, reason=str(fault))
             return
-        self.carry_out(self.holder.answered(Answer(ask, told.outcome, told.value), anyio.current_time()))
+        self.carry_out(
+            self.holder.handle_response(Response(ask, told.outcome, told.value), anyio.current_time())
+        )
 
     async def do(self, owned: Owned) -> None:
         with anyio.CancelScope() as self.scope:
@@ -144,9 +146,9 @@
             lease=settings.lease,
             drift=settings.drift,
             margin=0.05 * settings.lease,
-            renew=settings.lease / 4,
-            watch=settings.lease / 6,
-            answer=settings.lease / 6,
+            renew_interval=settings.lease / 4,
+            poll_interval=settings.lease / 6,
+            response_timeout=settings.lease / 6,
         )
         self.spread = random.Random(f"{name} {life}").random
         self.desks: list[Desk] = []
@@ -165,7 +167,7 @@
                     self.campaign,
                     self.asker,
                     Orderer(self.settings, who, self.token, self.net),
-                    self.timing.answer,
+                    self.timing.response_timeout,
                     self.hosts,
                     lambda: self.census,
                     self.log,
@@ -183,7 +185,7 @@
         for desk in self.desks:
             desk.leave()
         with anyio.move_on_after(within):
-            while any(desk.holder.stand is not Stand.WATCHES for desk in self.desks):
+            while any(desk.holder.state is not HolderState.WATCHING for desk in self.desks):
                 await anyio.sleep(0.02)
 
     async def report(self) -> None:
@@ -194,11 +196,11 @@
             report = census.Report(self.name, self.life, sums, stands)
             try:
                 told = await self.asker.ask(
-                    pb.CouncilAsk(kind=pb.REPORT, body=census.encoded(report)), REPORT_EVERY
+                    pb.CouncilAsk(kind=pb.REPORT, body=census.encode(report)), REPORT_EVERY
                 )
                 if told.outcome is Outcome.READ and told.value.body:
-                    self.heard(census.read(told.value.body, census.Census))
-            except (CouncilFault, Refusal) as fault:
+                    self.heard(census.decode(told.value.body, census.Census))
+            except (CouncilFault, DutyError) as fault:
                 self.log.warning("not reported", reason=str(fault))
 
     def heard(self, fresh: census.Census) -> None:
@@ -211,18 +213,18 @@
         while True:
             gathered = await self.gather()
             number += 1
-            made = census.folded(gathered, owned.token(), number)
-            at = await self.asker.read(census.RESULT, self.timing.answer)
+            made = census.merge_reports(gathered, owned.token(), number)
+            at = await self.asker.read(census.CENSUS_KEY, self.timing.response_timeout)
             if at.outcome is Outcome.READ and self.older(at.value.body, made):
                 # the version makes an owner fail that was late: a later one's census was written since this read
                 await self.asker.change(
-                    census.RESULT,
+                    census.CENSUS_KEY,
                     Change(
                         f"{self.name}/{self.life}/{owned.token()}/{number}",
                         at.value.version,
-                        census.encoded(made),
+                        census.encode(made),
                     ),
-                    self.timing.answer,
+                    self.timing.response_timeout,
                 )
             await anyio.sleep(CENSUS_EVERY)
 
@@ -230,17 +232,19 @@
         """The fence of the result: nothing is written over a later token's."""
         if not body:
             return True
-        known = census.read(body, census.Census)
+        known = census.decode(body, census.Census)
         return (known.token, known.number) < (made.token, made.number)
 
-    async def gather(self) -> list[list[census.Kept]]:
+    async def gather(self) -> list[list[census.ReceivedReport]]:
         """What each member has; one that does not answer leaves its controllers to be missed."""
         gathered = []
 
         async def one(member):
-            told = await self.asker.ask_member(member, pb.CouncilAsk(kind=pb.REPORTS), self.timing.answer)
+            told = await self.asker.ask_member(
+                member, pb.CouncilAsk(kind=pb.REPORTS), self.timing.response_timeout
+            )
             if told is not None:
-                gathered.append(census.read(told.body, list[census.Kept]))
+                gathered.append(census.decode(told.body, list[census.ReceivedReport]))
 
         async with anyio.create_task_group() as tasks:
             for member in self.settings.members:
--- a/linedeal/fleet/operator.py
+++ b/linedeal/fleet/operator.py
@@ -7,8 +7,8 @@
 
 from linedeal.council.records import Change, Outcome
 from linedeal.duties import campaign, duty as duties
-from linedeal.duties.campaign import PLAN, Mode, Plan, Progress, Want
-from linedeal.duties.duty import Duty, Refusal
+from linedeal.duties.campaign import PLAN_KEY, Mode, Plan, Progress, Want
+from linedeal.duties.duty import Duty, DutyError
 from linedeal.fleet.asker import Asker, Told
 from linedeal.fleet.hosts import HostNow, HostsNow, read_hosts
 from linedeal.fleet.release import CAMPAIGN
@@ -60,12 +60,15 @@
 
 
 async def standing(asker: Asker, within: float) -> Standing:
-    """Raises Unlearned, Refusal. Within that time in all, as the others here."""
-    plan = learned(await asker.read(PLAN, within / 2), "the campaign's plan")
+    """Raises Unlearned, DutyError. Within that time in all, as the others here."""
+    plan = learned(await asker.read(PLAN_KEY, within / 2), "the campaign's plan")
     owned = learned(await asker.read(CAMPAIGN, within / 2), "the campaign's owner")
-    duty = duties.decoded(owned.value.body)
+    duty = duties.decode(owned.value.body)
     return Standing(
-        campaign.read(plan.value.body, Plan), plan.value.version, duty, campaign.read(duty.progress, Progress)
+        campaign.decode(plan.value.body, Plan),
+        plan.value.version,
+        duty,
+        campaign.decode(duty.progress, Progress),
     )
 
 
@@ -75,34 +78,36 @@
 
 
 def planned(id: str, now: HostsNow, choice: Choice, bounds: Bounds, mine: Bounds) -> Plan:
-    """Raises Refusal where it could not be carried out. `mine`: the cluster file's bounds, which no plan may pass."""
+    """Raises DutyError where it could not be carried out. `mine`: the cluster file's bounds, which no plan may pass."""
     fleet = {name: (host.kind, host.cell) for name, host in now.hosts.items() if host.mode is not Mode.GONE}
     if absent := [name for name in choice.names if name not in fleet]:
-        raise Refusal(f"not among the hosts that serve: {campaign.named(absent)}")
+        raise DutyError(f"not among the hosts that serve: {campaign.format_hosts(absent)}")
     chosen = {name for name in fleet if choice.takes(name, now.hosts[name])}
-    view = campaign.View({name: host.seen for name, host in now.hosts.items()})
-    return campaign.checked(campaign.drawn(id, chosen, fleet, bounds.within(mine)), view)
+    view = campaign.ClusterView({name: host.seen for name, host in now.hosts.items()})
+    return campaign.validate(campaign.make_plan(id, chosen, fleet, bounds.within(mine)), view)
 
 
 async def begin(asker: Asker, plan: Plan, within: float) -> None:
-    """Raises Refusal, Unlearned."""
+    """Raises DutyError, Unlearned."""
     stands = await standing(asker, within / 2)
     if stands.plan is not None and stands.plan.id == plan.id:
-        raise Refusal(f"{plan.id} has been: a campaign's name is used once")
+        raise DutyError(f"{plan.id} has been: a campaign's name is used once")
     if stands.runs:
-        raise Refusal(f"{stands.plan.id} is not over: {campaign.counted(stands.plan, stands.progress)}")
+        raise DutyError(
+            f"{stands.plan.id} is not over: {campaign.describe_progress(stands.plan, stands.progress)}"
+        )
     await put(asker, plan, stands.version, within / 2)
 
 
 async def wish(asker: Asker, id: str, want: Want, within: float) -> Standing:
-    """Raises Refusal, Unlearned."""
+    """Raises DutyError, Unlearned."""
     stands = await standing(asker, within / 2)
     if stands.plan is None or stands.plan.id != id:
-        raise Refusal(f"no campaign {id} runs" + (f"; {stands.plan.id} does" if stands.runs else ""))
+        raise DutyError(f"no campaign {id} runs" + (f"; {stands.plan.id} does" if stands.runs else ""))
     if not stands.runs:
-        raise Refusal(f"{id} is over: {campaign.counted(stands.plan, stands.progress)}")
+        raise DutyError(f"{id} is over: {campaign.describe_progress(stands.plan, stands.progress)}")
     if stands.plan.want is Want.ABORT and want is not Want.ABORT:
-        raise Refusal(f"{id} is being aborted")
+        raise DutyError(f"{id} is being aborted")
     if stands.plan.want is not want:
         await put(asker, replace(stands.plan, want=want), stands.version, within / 2)
     return stands
@@ -110,17 +115,17 @@
 
 async def hand(asker: Asker, name: str, heir: str, within: float) -> Duty:
     """Takes the duty from its owner, for whoever comes or for `heir`, a controller's name and life. Returns it as it was.
-    Raises Refusal, Unlearned."""
+    Raises DutyError, Unlearned."""
     until = anyio.current_time() + within
     was = None
     while True:
         told = learned(await asker.read(name, until - anyio.current_time()), name)
-        duty = duties.decoded(told.value.body)
+        duty = duties.decode(told.value.body)
         if was is not None and (duty.owner, duty.token) != (was.owner, was.token):
-            raise Refusal(f"{duty.owner or 'nobody'} has it meanwhile: look at it again")
+            raise DutyError(f"{duty.owner or 'nobody'} has it meanwhile: look at it again")
         was = duty
         change = Change(
-            f"operator/{uuid.uuid4().hex}", told.value.version, duties.encoded(duties.taken_away(duty, heir))
+            f"operator/{uuid.uuid4().hex}", told.value.version, duties.encode(duties.revoke(duty, heir))
         )
         told = await asker.change(name, change, max(0.1, until - anyio.current_time()))
         if told.outcome is not Outcome.CONFLICT:  # else its owner has renewed it in between
@@ -130,13 +135,15 @@
 
 def made(told: Told, conflict: str, what: str) -> None:
     if told.outcome is Outcome.CONFLICT:
-        raise Refusal(conflict)
+        raise DutyError(conflict)
     if told.outcome is not Outcome.DONE:
         raise Unlearned(f"{what}: {told.outcome.value}" + "".join(f"; {one}" for one in told.silent))
 
 
 async def put(asker: Asker, plan: Plan, version: int, within: float) -> None:
-    change = Change(f"operator/{uuid.uuid4().hex}", version, campaign.encoded(plan))
+    change = Change(f"operator/{uuid.uuid4().hex}", version, campaign.encode(plan))
     made(
-        await asker.change(PLAN, change, within), "another operator was faster: look at it again", "the plan"
+        await asker.change(PLAN_KEY, change, within),
+        "another operator was faster: look at it again",
+        "the plan",
     )
--- a/linedeal/fleet/orders.py
+++ b/linedeal/fleet/orders.py
@@ -4,12 +4,12 @@
 
 import anyio
 
-from linedeal.duties.campaigner import Kind, Order, Reply
+from linedeal.duties.campaign_runner import OrderKind, Order, OrderReply
 from linedeal.net import Address, LinkLostError, Net, open_link
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 from linedeal.settings.records import CouncilSettings
 
-KINDS = {Kind.DRAIN: pb.HOST_DRAIN, Kind.REPLACE: pb.HOST_REPLACE}
+KINDS = {OrderKind.DRAIN: pb.HOST_DRAIN, OrderKind.REPLACE: pb.HOST_REPLACE}
 MOST_WHY = 200  # characters of a refusal that are kept
 
 
@@ -25,7 +25,7 @@
 
     async def send(
         self, address: Address, order: Order, duty: str, token: int, within: float
-    ) -> Reply | None:
+    ) -> OrderReply | None:
         """None: no answer came in time; it may have been carried out, and may be still. Raises LinkLostError where the other
         side refuses to listen."""
         number = next(self.numbers)
@@ -47,7 +47,7 @@
                 while True:
                     told = await link.receive()
                     if isinstance(told, pb.DutyTold) and told.number == number:
-                        return Reply(
+                        return OrderReply(
                             told.done,
                             told.boot,
                             told.draining,
--- a/linedeal/fleet/release.py
+++ b/linedeal/fleet/release.py
@@ -10,9 +10,9 @@
 
 from linedeal.council.records import Outcome
 from linedeal.duties import campaign
-from linedeal.duties.campaign import PLAN, Plan, Progress
-from linedeal.duties.campaigner import Campaigner, Kind, Order
-from linedeal.duties.duty import Refusal
+from linedeal.duties.campaign import PLAN_KEY, Plan, Progress
+from linedeal.duties.campaign_runner import CampaignRunner, OrderKind, Order
+from linedeal.duties.duty import DutyError
 from linedeal.fleet.asker import Asker
 from linedeal.fleet.hosts import HostsNow
 from linedeal.fleet.orders import Orderer
@@ -44,12 +44,14 @@
 
     async def work(self, owned) -> None:
         """Until the duty is lost."""
-        course = Campaigner(campaign.read(owned.progress, Progress), anyio.current_time(), self.settings.news)
+        course = CampaignRunner(
+            campaign.decode(owned.progress, Progress), anyio.current_time(), self.settings.news
+        )
         under_way: set[Order] = set()
         async with anyio.create_task_group() as tasks:
             while True:
                 plan = await self.plan()
-                if plan is None or plan.id == course.stands.id and course.stands.ended:
+                if plan is None or plan.id == course.stored.id and course.stored.ended:
                     await anyio.sleep(IDLE)
                     continue
                 await self.step(owned, course, plan)
@@ -60,19 +62,19 @@
                 await anyio.sleep(EVERY)
 
     async def plan(self) -> Plan | None:
-        told = await self.asker.read(PLAN, self.answer)
+        told = await self.asker.read(PLAN_KEY, self.answer)
         if told.outcome is not Outcome.READ:
             return None
         try:
-            return campaign.read(told.value.body, Plan)
-        except Refusal as refusal:
+            return campaign.decode(told.value.body, Plan)
+        except DutyError as refusal:
             self.log.error("campaign stands still", reason=str(refusal))
             return None
 
-    async def step(self, owned, course: Campaigner, plan: Plan) -> None:
+    async def step(self, owned, course: CampaignRunner, plan: Plan) -> None:
         now, listed, census = anyio.current_time(), self.hosts(), self.latest()
         if census is not None:
-            course.hear(census, now)
+            course.receive_census(census, now)
         after = course.step(
             plan,
             self.settings.bounds,
@@ -83,27 +85,29 @@
         if after is None:
             return
         await owned.record(
-            campaign.encoded(after)
+            campaign.encode(after)
         )  # returns once the council has it; cancelled if it never will
-        course.written(after, now)
-        self.log.info("campaign", stands=campaign.counted(plan, after))
+        course.mark_stored(after, now)
+        self.log.info("campaign", stands=campaign.describe_progress(plan, after))
 
-    async def order(self, owned, course: Campaigner, order: Order, under_way: set[Order]) -> None:
+    async def order(self, owned, course: CampaignRunner, order: Order, under_way: set[Order]) -> None:
         try:
             address, within = self.settings.tool, TOOL
-            if order.kind is Kind.DRAIN:
+            if order.kind is OrderKind.DRAIN:
                 host = self.hosts().hosts.get(order.host)
                 if host is None or not host.address:
                     return
                 address, within = parse_address(host.address), ORDER
             reply = await self.orderer.send(address, order, CAMPAIGN, owned.token(), within)
             if reply is not None:
-                if not reply.done and course.troubles.get(order.host) != reply.why:
-                    self.log.warning("order refused", host=order.host, kind=order.kind.name, reason=reply.why)
-                course.told(order, reply, anyio.current_time())
+                if not reply.done and course.order_errors.get(order.host) != reply.reason:
+                    self.log.warning(
+                        "order refused", host=order.host, kind=order.kind.name, reason=reply.reason
+                    )
+                course.receive_reply(order, reply, anyio.current_time())
         except LinkLostError as error:
-            if course.troubles.get(order.host) != str(error):
+            if course.order_errors.get(order.host) != str(error):
                 self.log.warning("order not sent", host=order.host, kind=order.kind.name, reason=str(error))
-            course.troubles[order.host] = str(error)
+            course.order_errors[order.host] = str(error)
         finally:
             under_way.discard(order)
--- a/linedeal/fleet/service.py
+++ b/linedeal/fleet/service.py
@@ -12,23 +12,23 @@
 import anyio
 import anyio.to_thread
 
-from linedeal.council import moves
+from linedeal.council import reconfiguration
 from linedeal.council.member import Member
 from linedeal.council.records import (
-    ROSTER,
-    Answer,
-    Ask,
+    ROSTER_KEY,
+    Response,
+    Request,
     Change,
-    Fault,
-    Keep,
+    InvalidRequestError,
+    Persist,
     Outcome,
     Packet,
     Retire,
     Send,
-    Timing,
+    MemberOptions,
 )
 from linedeal.duties import census
-from linedeal.duties.duty import Refusal
+from linedeal.duties.duty import DutyError
 from linedeal.fleet.disk import CouncilDisk
 from linedeal.fleet.hall import Asker, Hall
 from linedeal.fleet.hosts import HostsNow, encoded_hosts
@@ -67,7 +67,7 @@
         token: str,
         net: Net,
         log,
-        timing: Timing = Timing(),
+        timing: MemberOptions = MemberOptions(),
         hosts: Callable[[], HostsNow] = HostsNow,
     ):
         self.settings, self.name, self.directory, self.seat, self.net = settings, name, directory, seat, net
@@ -83,7 +83,7 @@
         self.put, self.taken = anyio.create_memory_object_stream(QUEUE)
         self.asks: dict[int, Wanted] = {}  # whom each answer is for
         self.numbers = 0
-        self.reports = census.Reports()
+        self.reports = census.ReportTable()
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
         async with anyio.create_task_group() as tasks:
@@ -159,29 +159,29 @@
     async def turn(self, member: Member) -> list:
         """What the core makes of all that waits, or of its time."""
         out = []
-        with anyio.move_on_after(max(0.0, member.next() - anyio.current_time())):
+        with anyio.move_on_after(max(0.0, member.next_tick() - anyio.current_time())):
             out += self.hear(member, await self.taken.receive())
         for _ in range(QUEUE):
             try:
                 out += self.hear(member, self.taken.receive_nowait())
             except anyio.WouldBlock:
                 break
-        if anyio.current_time() >= member.next():
+        if anyio.current_time() >= member.next_tick():
             out += member.tick(anyio.current_time())
         return out
 
     def hear(self, member: Member, got: Packet | Wanted) -> list:
         now = anyio.current_time()
         if isinstance(got, Packet):
-            return member.hear(got, now)
+            return member.receive(got, now)
         try:
             return self.begin(member, got, now)
-        except Fault as fault:
+        except InvalidRequestError as fault:
             self.fault(got, str(fault))
         return []
 
     async def carry_out(self, disk: CouncilDisk, out: list) -> None:
-        keeps = [one for one in out if type(one) is Keep]
+        keeps = [one for one in out if type(one) is Persist]
         if keeps:
             await anyio.to_thread.run_sync(disk.write, keeps)
         for one in out:
@@ -190,7 +190,7 @@
                 if peer is not None:
                     peer.send(one.packet)
             elif type(one) is Retire:
-                self.log.error("council member retires", reason=one.why)
+                self.log.error("council member retires", reason=one.reason)
         self.tell_answers(out)
 
     # --- asks
@@ -204,7 +204,7 @@
         if said.kind == pb.REPORT:
             return self.reported(member, wanted, now)
         if said.kind == pb.REPORTS:
-            self.tell(wanted, Outcome.READ, body=census.encoded(self.reports.all(now)))
+            self.tell(wanted, Outcome.READ, body=census.encode(self.reports.all(now)))
             return []
         if said.kind == pb.HOSTS:
             self.tell(wanted, Outcome.READ, body=encoded_hosts(self.hosts()))
@@ -212,43 +212,45 @@
         if said.kind == pb.VOUCH:
             self.log.warning("the operator vouches for the directory", who=wanted.asker.name)
             self.tell(wanted, Outcome.DONE)
-            return member.vouch(now)
+            return member.confirm_directory(now)
         if said.kind == pb.READ:
             change, key = None, said.key
         elif said.kind == pb.CHANGE:
-            if said.key == ROSTER:
-                raise Fault(f"{ROSTER} changes by replace alone")
+            if said.key == ROSTER_KEY:
+                raise InvalidRequestError(f"{ROSTER_KEY} changes by replace alone")
             change, key = Change(said.id, said.expect, said.body), said.key
         elif said.kind == pb.REPLACE:
-            change, key = self.replacement(member, said), ROSTER
+            change, key = self.replacement(member, said), ROSTER_KEY
         else:
-            raise Fault("the council is not asked that")
+            raise InvalidRequestError("the council is not asked that")
         if not 0 < len(key) <= 128 or change is not None and not 0 < len(change.id) <= 128:
-            raise Fault("a register's name and a change's id have 1 to 128 characters")
+            raise InvalidRequestError("a register's name and a change's id have 1 to 128 characters")
         self.numbers += 1
         self.asks[self.numbers] = wanted
         try:
-            return member.ask(Ask(self.numbers, wanted.asker.name, key, change, until), now)
-        except Fault:
+            return member.submit(Request(self.numbers, wanted.asker.name, key, change, until), now)
+        except InvalidRequestError:
             del self.asks[self.numbers]
             raise
 
     def replacement(self, member: Member, said: pb.CouncilAsk) -> Change:
         comes = member.candidates().get(said.id)
         if comes is None:
-            raise Fault(f"{said.id} has not been heard of as one that belongs to no council: start it first")
-        roster = moves.replaced(member.roster, said.key, comes)
-        held = member.slots.get(ROSTER)
+            raise InvalidRequestError(
+                f"{said.id} has not been heard of as one that belongs to no council: start it first"
+            )
+        roster = reconfiguration.replace_member(member.roster, said.key, comes)
+        held = member.slots.get(ROSTER_KEY)
         return Change(
             f"{said.key}>{comes.name}/{comes.incarnation}",
             held.value.version if held else 0,
-            moves.encoded(roster),
+            reconfiguration.encode_roster(roster),
         )
 
     def tell_answers(self, out: list) -> None:
         for one in out:
-            if type(one) is Answer:
-                wanted = self.asks.pop(one.ask.number)
+            if type(one) is Response:
+                wanted = self.asks.pop(one.request.number)
                 self.tell(wanted, one.outcome, one.value.version, one.value.body)
 
     def tell(self, wanted: Wanted, outcome: Outcome, version: int = 0, body: bytes = b"") -> None:
@@ -261,13 +263,15 @@
 
     def reported(self, member: Member, wanted: Wanted, now: float) -> list:
         """Kept in memory alone; the answer is this member's own view of the last census, which may lag."""
-        if len(wanted.said.body) > census.MOST_REPORT:
-            raise Fault(f"a report of {len(wanted.said.body)} bytes, at most {census.MOST_REPORT} are taken")
+        if len(wanted.said.body) > census.MAX_REPORT_BYTES:
+            raise InvalidRequestError(
+                f"a report of {len(wanted.said.body)} bytes, at most {census.MAX_REPORT_BYTES} are taken"
+            )
         try:
-            self.reports.put(census.read(wanted.said.body, census.Report), now)
-        except Refusal as refusal:
-            raise Fault(str(refusal)) from None
-        held = member.slots.get(census.RESULT)
+            self.reports.put(census.decode(wanted.said.body, census.Report), now)
+        except DutyError as refusal:
+            raise InvalidRequestError(str(refusal)) from None
+        held = member.slots.get(census.CENSUS_KEY)
         self.tell(wanted, Outcome.READ, body=held.value.body if held else b"")
         return []
 
@@ -282,7 +286,7 @@
             "life": member.life,
             "known_by": sorted(member.known_by),
             "moving": member.sealed is not None,
-            "elsewhere": member.elsewhere.names() if member.elsewhere else [],
+            "elsewhere": member.excluded_by.names() if member.excluded_by else [],
             "candidates": sorted(member.candidates()),
             "registers": sorted(member.slots),
             "links": sorted(name for name, peer in self.peers.items() if peer.up),
--- a/linedeal/lab/director.py
+++ b/linedeal/lab/director.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from linedeal.duties.duty import Refusal
+from linedeal.duties.duty import DutyError
 from linedeal.fleet.operator import Unlearned
 from linedeal.lab.day import Day, Order
 from linedeal.lab.load import Owners
@@ -32,7 +32,7 @@
     async def play(self, order: Order, begun: float) -> None:
         try:
             await self.play_through(order, begun)
-        except (Refusal, Unlearned) as error:  # what an operator is told, and may be told in any day
+        except (DutyError, Unlearned) as error:  # what an operator is told, and may be told in any day
             self.say(f"        {order.verb}: {error}")
             await self.ground.mark("refused", f"{order.verb}: {error}")
 
--- a/linedeal/lab/explore.py
+++ b/linedeal/lab/explore.py
@@ -16,20 +16,20 @@
 
 from linedeal.council.member import Member
 from linedeal.council.records import (
-    ROSTER,
-    Answer,
-    Ask,
+    ROSTER_KEY,
+    Response,
+    Request,
     Ballot,
     Change,
     Identity,
-    Keep,
-    Mark,
+    Persist,
+    ReplicaVersion,
     Packet,
     Roster,
     Send,
     Value,
 )
-from linedeal.council import moves
+from linedeal.council import reconfiguration
 from linedeal.lab.history import Op, linearizable
 
 FOREVER = 1e12
@@ -55,7 +55,7 @@
     """Who is there, and what is asked of whom: (member, ask), in any order."""
 
     members: int
-    asks: tuple[tuple[str, Ask], ...]
+    asks: tuple[tuple[str, Request], ...]
     budget: Budget = Budget()
     spare: tuple[str, ...] = ()  # directories of no council that run as well
 
@@ -64,21 +64,27 @@
     return tuple("abcdefg"[:count])
 
 
-def reader(number: int, at: str, key: str = "k") -> tuple[str, Ask]:
-    return at, Ask(number, f"c{number}", key, None, FOREVER)
+def reader(number: int, at: str, key: str = "k") -> tuple[str, Request]:
+    return at, Request(number, f"c{number}", key, None, FOREVER)
 
 
 def writer(
     number: int, at: str, expect: int = 0, key: str = "k", id: str = "", body: bytes = b""
-) -> tuple[str, Ask]:
-    return at, Ask(
+) -> tuple[str, Request]:
+    return at, Request(
         number, f"c{number}", key, Change(id or f"w{number}", expect, body or b"%d" % number), FOREVER
     )
 
 
-def replacing(number: int, at: str, members: int, old: str, new: str) -> tuple[str, Ask]:
+def replacing(number: int, at: str, members: int, old: str, new: str) -> tuple[str, Request]:
     roster = Roster(1, tuple(Identity(name, 1) for name in names(members)))
-    return writer(number, at, 0, ROSTER, body=moves.encoded(moves.replaced(roster, old, Identity(new, 1))))
+    return writer(
+        number,
+        at,
+        0,
+        ROSTER_KEY,
+        body=reconfiguration.encode_roster(reconfiguration.replace_member(roster, old, Identity(new, 1))),
+    )
 
 
 @dataclass(slots=True)
@@ -90,7 +96,7 @@
     starts: dict[str, int]  # how often each was started
     packets: tuple[tuple[str, Packet], ...] = ()  # to whom, what; in any order
     asked: frozenset[int] = frozenset()
-    history: tuple[tuple[int, Answer | None], ...] = ()  # ask number; None: it was asked
+    history: tuple[tuple[int, Response | None], ...] = ()  # ask number; None: it was asked
     votes: dict[tuple[str, Ballot], tuple[Value, frozenset[str]]] = field(default_factory=dict)
     rosters: dict[int, Roster] = field(default_factory=dict)
     budget: Budget = Budget()
@@ -119,7 +125,7 @@
     def frozen(self) -> int:
         return hash(
             (
-                tuple(member.frozen() for member in self.members.values()),
+                tuple(member.state_key() for member in self.members.values()),
                 tuple(frozenset(disk.items()) for disk in self.disks.values()),
                 frozenset(self.packets),
                 len(self.packets),
@@ -138,7 +144,9 @@
 def world(case: Case) -> World:
     """A council that stands, its members known to each other, nothing under way."""
     roster = Roster(1, tuple(Identity(name, 1) for name in names(case.members)))
-    marks = tuple(Mark(who.name, 1, 1, 100 + place, 0, 1) for place, who in enumerate(roster.members))
+    marks = tuple(
+        ReplicaVersion(who.name, 1, 1, 100 + place, 0, 1) for place, who in enumerate(roster.members)
+    )
     made = World(case, {}, {}, {}, {}, budget=case.budget, rosters={1: roster})
     for place, who in enumerate(roster.members):
         seen = tuple(mark for mark in marks if mark.name != who.name)
@@ -199,18 +207,18 @@
         if kind == "drop":
             at.budget = replace(at.budget, drops=at.budget.drops - 1)
         elif to in at.members:
-            carry_out(at, to, at.members[to].hear(packet, 0.0), cut)
+            carry_out(at, to, at.members[to].receive(packet, 0.0), cut)
     elif kind == "ask":
         who, ask = what
         at = before.copy(who)
         at.asked |= {ask.number}
         at.history = (*at.history, (ask.number, None))
-        carry_out(at, who, at.members[who].ask(ask, 0.0), cut)
+        carry_out(at, who, at.members[who].submit(ask, 0.0), cut)
     elif kind == "timer":
         at = before.copy(what)
         at.budget = replace(at.budget, timers=at.budget.timers - 1)
         member = at.members[what]
-        carry_out(at, what, member.tick(max(member.next(), 0.0) + 10.0), cut)
+        carry_out(at, what, member.tick(max(member.next_tick(), 0.0) + 10.0), cut)
         unwind(member)
     else:
         at = before.copy(what)
@@ -225,10 +233,10 @@
 
 def unwind(member: Member) -> None:
     """Back to time 0, so that states that differ in the time alone count as one."""
-    member.pulse_at, member.helped_at = FOREVER, {}
-    member.rounds = {key: replace(round, again_at=1.0) for key, round in member.rounds.items()}
-    if member.move is not None:
-        member.move = replace(member.move, again_at=1.0)
+    member.heartbeat_at, member.helped_at = FOREVER, {}
+    member.rounds = {key: replace(round, retry_at=1.0) for key, round in member.rounds.items()}
+    if member.reconfiguration is not None:
+        member.reconfiguration = replace(member.reconfiguration, retry_at=1.0)
 
 
 def restart(at: World, name: str) -> None:
@@ -240,9 +248,9 @@
 
 
 def carry_out(at: World, name: str, effects: list, cut: int | None) -> None:
-    """In order; with `cut`, the process dies before its next Keep but that many, and starts anew."""
+    """In order; with `cut`, the process dies before its next Persist but that many, and starts anew."""
     for effect in effects:
-        if type(effect) is Keep:
+        if type(effect) is Persist:
             if cut == 0:
                 at.budget = replace(at.budget, crashes=at.budget.crashes - 1)
                 restart(at, name)
@@ -252,15 +260,15 @@
             witness_votes(at, name, effect)
         elif type(effect) is Send:
             at.packets = (*at.packets, (effect.to, effect.packet))
-        elif type(effect) is Answer:
-            at.history = (*at.history, (effect.ask.number, effect))
-            judge_history(at, effect.ask.key)
+        elif type(effect) is Response:
+            at.history = (*at.history, (effect.request.number, effect))
+            judge_history(at, effect.request.key)
 
 
 # --- judges
 
 
-def witness_votes(at: World, name: str, keep: Keep) -> None:
+def witness_votes(at: World, name: str, keep: Persist) -> None:
     records = dict(keep.records)
     if "roster" in records:
         roster = records["roster"]
--- a/linedeal/lab/faulty.py
+++ b/linedeal/lab/faulty.py
@@ -9,10 +9,10 @@
 from typing import Callable, Iterator
 from unittest import mock
 
-from linedeal.council import moves, rounds, slots, witness
+from linedeal.council import reconfiguration, rounds, slots, staleness
 from linedeal.council.member import Member
 from linedeal.council.records import Outcome, Roster, Send
-from linedeal.council.rounds import Told
+from linedeal.council.rounds import RoundResult
 from linedeal.lab.explore import Budget, Case, Found, reader, replacing, wander, writer
 
 TWO_WRITE = (writer(1, "a"), writer(2, "b"), reader(3, "c"), writer(4, "c", 1), reader(5, "a"))
@@ -89,7 +89,7 @@
 def read_unchosen(round, number):
     """A read answers what it found, without writing it back."""
     after = true_promised(round, number)
-    return Told(Outcome.READ, after.proposal) if round.ask.change is None else after
+    return RoundResult(Outcome.READ, after.proposal) if round.request.change is None else after
 
 
 def merge_one(states):
@@ -110,53 +110,53 @@
     return replace(slot, promised=max(ballot, slot.promised), accepted=ballot, value=value)
 
 
-true_keep, true_done = Member.keep, Member.done
+true_keep, true_done = Member.persist, Member.take_effects
 true_heard, true_promised, true_merged, true_changed = (
-    rounds.heard,
-    rounds.promised,
-    moves.merged,
-    slots.changed,
+    rounds.handle_reply,
+    rounds.finish_prepare,
+    reconfiguration.merge_states,
+    slots.apply_change,
 )
 
 DELIBERATE = (
     Deliberate("a promise is forgotten at once", CALM, slots, "prepare", lambda slot, ballot: slot),
-    Deliberate("a promise is not kept on disk", LOSSY, Member, "keep", forget_promises),
-    Deliberate("a vote is not kept on disk", LOSSY, Member, "keep", forget_votes),
-    Deliberate("a vote is told before it is on disk", LOSSY, Member, "done", tell_first),
+    Deliberate("a promise is not kept on disk", LOSSY, Member, "persist", forget_promises),
+    Deliberate("a vote is not kept on disk", LOSSY, Member, "persist", forget_votes),
+    Deliberate("a vote is told before it is on disk", LOSSY, Member, "take_effects", tell_first),
     Deliberate("a majority is one too few", CALM, Roster, "majority", property(own_majority)),
-    Deliberate("the oldest vote is carried on, not the newest", CALM, slots, "newest", oldest),
-    Deliberate("one member's replies count twice", LOSSY, rounds, "heard", count_twice),
+    Deliberate("the oldest vote is carried on, not the newest", CALM, slots, "highest_vote", oldest),
+    Deliberate("one member's replies count twice", LOSSY, rounds, "handle_reply", count_twice),
     Deliberate("a member accepts below its promise", CALM, slots, "accept", any_ballot),
     Deliberate(
         "a look answers whatever is newest",
         CALM,
         slots,
-        "settled",
-        lambda votes, epoch: slots.newest(votes)[1],
+        "chosen_value",
+        lambda votes, epoch: slots.highest_vote(votes)[1],
     ),
     Deliberate(
         "a read does not write back",
         CALM,
         rounds,
-        "AFTER",
-        {**rounds.AFTER, rounds.Phase.PREPARE: read_unchosen},
+        "FINISH_PHASE",
+        {**rounds.FINISH_PHASE, rounds.Phase.PREPARE: read_unchosen},
     ),
-    Deliberate("changes are not remembered by their ids", ASKED_TWICE, slots, "changed", no_memory),
+    Deliberate("changes are not remembered by their ids", ASKED_TWICE, slots, "apply_change", no_memory),
     Deliberate("a member votes on in the epoch it sealed", MOVING, Member, "seal", never_seal),
-    Deliberate("a move takes over one member's votes", MOVING, moves, "merged", merge_one),
+    Deliberate("a move takes over one member's votes", MOVING, reconfiguration, "merge_states", merge_one),
     Deliberate(
         "an older copy is not told from the directory",
         COPIED,
-        witness,
-        "sight",
-        lambda seen, mark: (witness.Sight.NEWER, mark),
+        staleness,
+        "check_freshness",
+        lambda seen, mark: (staleness.Freshness.NEWER, mark),
     ),
     Deliberate(
         "a member votes before the others know its life",
         COPIED,
         Member,
         "may_vote",
-        lambda self: self.me in self.roster.members and not self.retired,
+        lambda self: self.identity in self.roster.members and not self.retired,
     ),
 )
 
--- a/linedeal/lab/operating.py
+++ b/linedeal/lab/operating.py
@@ -57,12 +57,12 @@
             await operator.hand(asker, f"duty/{duty}", heir, WITHIN)
 
     async def owner(self, duty: str) -> str:
-        """The controller that has it; raises Unlearned, and Refusal where nobody has."""
+        """The controller that has it; raises Unlearned, and DutyError where nobody has."""
         async with self.asker() as asker:
             told = operator.learned(await asker.read(f"duty/{duty}", WITHIN), duty)
-        owner = duties.decoded(told.value.body).owner.partition("/")[0]
+        owner = duties.decode(told.value.body).owner.partition("/")[0]
         if not owner:
-            raise duties.Refusal(f"nobody owns {duty}")
+            raise duties.DutyError(f"nobody owns {duty}")
         return owner
 
     async def standing(self) -> operator.Standing:
--- a/linedeal/lab/relay.py
+++ b/linedeal/lab/relay.py
@@ -8,9 +8,9 @@
 import random
 from dataclasses import dataclass, field
 
-from linedeal.council.records import Answer, Ask, Outcome, Value
+from linedeal.council.records import Response, Request, Outcome, Value
 from linedeal.council import slots
-from linedeal.duties.duty import Refusal
+from linedeal.duties.duty import DutyError
 from linedeal.duties.fence import Fence
 from linedeal.duties.holder import Gained, Holder, LeaseTiming, Lost
 
@@ -97,7 +97,7 @@
             name
             for name, holder in self.holders.items()
             if self.now >= self.clocks[name].frozen_until
-            and holder.may_act(self.clocks[name].read(self.now)) is not None
+            and holder.fencing_token(self.clocks[name].read(self.now)) is not None
         ]
         if len(acting) > 1:
             self.course.faults.append(f"{' and '.join(acting)} act at once at {self.now:.3f}")
@@ -116,12 +116,12 @@
         if self.thaw(name, self.turn):
             holder, clock = self.holders[name], self.clocks[name]
             self.carry_out(name, holder.tick(clock.read(self.now)))
-            due = (holder.next(clock.read(self.now)) - clock.read(self.now)) / clock.rate
+            due = (holder.next_tick(clock.read(self.now)) - clock.read(self.now)) / clock.rate
             self.after(min(max(due, 0.01), 0.5), self.turn, name)
 
     def carry_out(self, name: str, out: list) -> None:
         for one in out:
-            if type(one) is Ask and self.passes(name):
+            if type(one) is Request and self.passes(name):
                 self.after(self.delay(), self.change, name, one)
                 if self.random.random() < 0.1:
                     self.after(self.delay(), self.change, name, one)  # doubled
@@ -137,24 +137,24 @@
     def delay(self) -> float:
         return self.random.uniform(0.001, self.weather.delay)
 
-    def change(self, name: str, ask: Ask) -> None:
+    def change(self, name: str, ask: Request) -> None:
         """At the council."""
         outcome = Outcome.READ
         if ask.change is not None:
-            outcome, self.value = slots.changed(self.value, ask.change)
+            outcome, self.value = slots.apply_change(self.value, ask.change)
         if self.passes(name):
-            self.after(self.delay(), self.answer, name, Answer(ask, outcome, self.value))
+            self.after(self.delay(), self.answer, name, Response(ask, outcome, self.value))
 
-    def answer(self, name: str, answer: Answer) -> None:
+    def answer(self, name: str, answer: Response) -> None:
         if self.thaw(name, self.answer, answer):
-            self.carry_out(name, self.holders[name].answered(answer, self.clocks[name].read(self.now)))
+            self.carry_out(name, self.holders[name].handle_response(answer, self.clocks[name].read(self.now)))
 
     def act(self, name: str) -> None:
         """Check, then send: between them the process may be frozen."""
         if not self.thaw(name, self.act):
             return
         holder, clock = self.holders[name], self.clocks[name]
-        token = holder.may_act(clock.read(self.now))
+        token = holder.fencing_token(clock.read(self.now))
         if token is not None and name in self.steps:
             step = self.steps[name]
             if self.random.random() < self.weather.gaps * 0.1:
@@ -173,8 +173,8 @@
     def carry(self, name: str, token: int, step: int) -> None:
         """At the host."""
         try:
-            self.fence = self.fence.passed("work", token)
-        except Refusal:
+            self.fence = self.fence.admit("work", token)
+        except DutyError:
             self.course.refused += 1
             return
         carried = self.course.carried
@@ -199,7 +199,7 @@
         holder = self.holders[name]
         if (
             chance() < self.weather.hands
-            and holder.may_act(clock.read(self.now)) is not None
+            and holder.fencing_token(clock.read(self.now)) is not None
             and self.now >= clock.frozen_until
         ):
             heir = self.random.choice([""] + [other for other in self.holders if other != name])
--- a/linedeal/lab/releases.py
+++ b/linedeal/lab/releases.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 
 from linedeal.duties import campaign
-from linedeal.duties.campaign import Mode, Progress, Seen
-from linedeal.duties.campaigner import Campaigner, Kind, Order, Reply
+from linedeal.duties.campaign import Mode, Progress, HostState
+from linedeal.duties.campaign_runner import CampaignRunner, OrderKind, Order, OrderReply
 from linedeal.duties.census import Census
-from linedeal.duties.duty import Refusal
+from linedeal.duties.duty import DutyError
 from linedeal.duties.fence import Fence
 from linedeal.settings.records import Bounds
 
@@ -70,17 +70,17 @@
         hosts: int = 12,
         bounds: Bounds = Bounds(most=3, cells=2, room=0.5, patience=20.0, warm=3.0, away=40.0),
         trouble: Trouble = Trouble(),
-        course=Campaigner,
+        course=CampaignRunner,
     ):
         self.random, self.trouble, self.course_of = random.Random(seed), trouble, course
         self.hosts = {f"h{i:02}": SimHost(f"h{i:02}") for i in range(hosts)}
         fleet = {name: ("std" if place % 3 else "press", place // 4) for place, name in enumerate(self.hosts)}
-        self.plan = campaign.drawn("r1", set(fleet), fleet, bounds)
+        self.plan = campaign.make_plan("r1", set(fleet), fleet, bounds)
         self.mine = bounds
         self.now, self.token, self.number = 0.0, 1, 0
         self.register = b""
         self.flights: list = []
-        self.lists: list[tuple[float, dict[str, Seen]]] = []
+        self.lists: list[tuple[float, dict[str, HostState]]] = []
         self.course = Course()
         self.owner = self.course_of(Progress(), 0.0)
 
@@ -124,7 +124,7 @@
             (
                 self.now,
                 {
-                    host.name: Seen(
+                    host.name: HostState(
                         Mode.GONE if host.back > self.now else Mode.DRAINS if host.draining else Mode.SERVES,
                         host.boot,
                         self.now - host.began,
@@ -151,17 +151,17 @@
     def own(self) -> None:
         seen = self.lists[0][1]
         owner, token = self.owner, self.token
-        owner.hear(Census(token, int(self.now / STEP), 1, (), 0, 0.0, {}, {}), self.now)
+        owner.receive_census(Census(token, int(self.now / STEP), 1, (), 0, 0.0, {}, {}), self.now)
         after = owner.step(self.plan, self.mine, seen, 1.0, self.now)
         if self.dies(owner, token, []):
             return
         if after is not None:
             self.judge_plan(after, seen)
-            self.register = campaign.encoded(after)
+            self.register = campaign.encode(after)
             self.course.progress = after
             if self.dies(owner, token, []):  # written, and its owner never heard of it
                 return
-            owner.written(after, self.now)
+            owner.mark_stored(after, self.now)
         orders = owner.orders()
         if self.dies(owner, token, orders):
             return
@@ -169,7 +169,7 @@
             self.send(owner, token, order)
         self.dies(owner, token, orders)
 
-    def judge_plan(self, after: Progress, seen: dict[str, Seen]) -> None:
+    def judge_plan(self, after: Progress, seen: dict[str, HostState]) -> None:
         """Hosts that go out now, beside all that are out by the campaign or are known to have died."""
         former = {(turn.host, turn.boot) for turn in self.course.progress.out}
         turns = {turn.host for turn in after.out}
@@ -178,7 +178,7 @@
             if len(turns | dead) > self.mine.most:
                 self.course.faults.append(f"{sorted(turns | dead)} are to be out at {self.now:g}")
 
-    def dies(self, owner: Campaigner, token: int, orders: list[Order]) -> bool:
+    def dies(self, owner: CampaignRunner, token: int, orders: list[Order]) -> bool:
         """The next owner goes by the register; this one may have been frozen, and sends what it had begun."""
         if self.random.random() >= self.trouble.dies:
             return False
@@ -187,7 +187,7 @@
                 self.after(self.random.uniform(0, 30), self.send, owner, token, order)
         self.token += 1
         self.course.owners += 1
-        self.owner = self.course_of(campaign.read(self.register, Progress), self.now)
+        self.owner = self.course_of(campaign.decode(self.register, Progress), self.now)
         return True
 
     def send(self, owner, token: int, order: Order) -> None:
@@ -201,16 +201,16 @@
 
     def carry(self, owner, token: int, order: Order) -> None:
         host = self.hosts[order.host]
-        if order.kind is Kind.DRAIN and host.back > self.now:
+        if order.kind is OrderKind.DRAIN and host.back > self.now:
             return
         try:
-            host.fence = host.fence.passed("campaign", token)  # the tool keeps its own, a host each here
-        except Refusal:
+            host.fence = host.fence.admit("campaign", token)  # the tool keeps its own, a host each here
+        except DutyError:
             self.course.refused += 1
             return
-        if order.kind is Kind.DRAIN:
+        if order.kind is OrderKind.DRAIN:
             self.drain(host, order)
-            reply = Reply(
+            reply = OrderReply(
                 host.boot == order.boot,
                 host.boot,
                 host.draining,
@@ -222,9 +222,9 @@
         for _ in range(self.copies()):
             self.after(self.random.uniform(0, self.trouble.late), self.told, owner, order, reply)
 
-    def told(self, owner, order: Order, reply: Reply) -> None:
+    def told(self, owner, order: Order, reply: OrderReply) -> None:
         if owner is self.owner:
-            owner.told(order, reply, self.now)
+            owner.receive_reply(order, reply, self.now)
 
     def drain(self, host: SimHost, order: Order) -> None:
         if host.boot != order.boot or host.draining:
@@ -243,7 +243,7 @@
         if len(out) > self.mine.most:
             self.course.faults.append(f"{len(out)} are out at {self.now:g}: {', '.join(out)}")
 
-    def replace(self, host: SimHost, order: Order) -> Reply:
+    def replace(self, host: SimHost, order: Order) -> OrderReply:
         begun = self.course.replaced.get(host.name, [])
         if host.boot == order.boot:
             if order.boot not in begun:
@@ -256,8 +256,8 @@
             self.start(host, 2.0)
             host.by_campaign = True
         if order.boot not in self.course.replaced.get(host.name, []):
-            return Reply(False, host.boot, why="another boot")
-        return Reply(True, host.boot)
+            return OrderReply(False, host.boot, reason="another boot")
+        return OrderReply(True, host.boot)
 
 
 def played(seeds, seconds: float = 900.0, **settings) -> list[Course]:
--- a/linedeal/lab/report.py
+++ b/linedeal/lab/report.py
@@ -7,7 +7,7 @@
 from linedeal.audit import RULES, Breach, Traffic
 from linedeal.audit.duties import CLAIMS, DutyBreach, campaigns
 from linedeal.audit.traffic import NEVER, LaunchSeen
-from linedeal.duties.campaign import counted
+from linedeal.duties.campaign import describe_progress
 from linedeal.lab.day import Day
 from linedeal.protocol import pb
 
@@ -162,7 +162,7 @@
             out += verdict(
                 f"duties, {claim}", text, [breach for breach in of_duties if breach.claim == claim]
             )
-        out += [f"campaign {counted(plan, progress)}" for plan, progress in campaigns(traffic)]
+        out += [f"campaign {describe_progress(plan, progress)}" for plan, progress in campaigns(traffic)]
     return out
 
 
--- a/linedeal/standin/orders.py
+++ b/linedeal/standin/orders.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from linedeal.duties.duty import Refusal
+from linedeal.duties.duty import DutyError
 from linedeal.duties.fence import Fence
 from linedeal.net import Link, LinkLostError
 from linedeal.protocol import encode, pb
@@ -33,8 +33,8 @@
                 raise FenceFault(f"{path}: holds no tokens: {error}") from None
 
     def passed(self, duty: str, token: int) -> None:
-        """Returns once the token is kept. Raises Refusal for an old owner's."""
-        after = self.fence.passed(duty, token)
+        """Returns once the token is kept. Raises DutyError for an old owner's."""
+        after = self.fence.admit(duty, token)
         if after is not self.fence and self.path is not None:
             write_whole(self.path, dict(after.tokens))
         self.fence = after
@@ -83,6 +83,6 @@
         return "this is not done here"
     try:
         fence.passed(order.duty, order.token)
-    except (Refusal, FenceFault) as error:
+    except (DutyError, FenceFault) as error:
         return str(error)
     return ""
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -10,23 +10,23 @@
 from linedeal.duties import campaign, duty
 from linedeal.duties.campaign import (
     Bounds,
-    Look,
+    DrainState,
     Mode,
     Plan,
     Progress,
-    Seen,
+    HostState,
     Stage,
-    Turn,
-    View,
+    HostUpdate,
+    ClusterView,
     Want,
     batches,
-    checked,
+    validate,
     decide,
-    drawn,
+    make_plan,
 )
-from linedeal.duties.campaigner import Campaigner, Kind, Reply
+from linedeal.duties.campaign_runner import CampaignRunner, OrderKind, OrderReply
 from linedeal.duties.census import Census
-from linedeal.duties.duty import Duty, Refusal
+from linedeal.duties.duty import Duty, DutyError
 from linedeal.fleet.hosts import HostNow, HostsNow
 from linedeal.fleet.operator import Choice, planned
 from linedeal.lab.record import Recorder
@@ -39,15 +39,15 @@
 
 
 def plan(bounds=BOUNDS, want=Want.RUN, fleet=FLEET) -> Plan:
-    return replace(drawn("r1", set(fleet), fleet, bounds), want=want)
+    return replace(make_plan("r1", set(fleet), fleet, bounds), want=want)
 
 
-def view(**changed) -> View:
-    """All serve at boot 1 but those named: a Mode, or a Seen."""
-    seen = {host: Seen(Mode.SERVES, 1, 1000.0) for host in FLEET}
+def view(**changed) -> ClusterView:
+    """All serve at boot 1 but those named: a Mode, or a HostState."""
+    seen = {host: HostState(Mode.SERVES, 1, 1000.0) for host in FLEET}
     for host, stands in changed.items():
-        seen[host] = stands if isinstance(stands, Seen) else Seen(stands, 1, 1000.0)
-    return View(seen)
+        seen[host] = stands if isinstance(stands, HostState) else HostState(stands, 1, 1000.0)
+    return ClusterView(seen)
 
 
 def out(progress) -> dict[str, Stage]:
@@ -72,12 +72,12 @@
     both = decide(plan(), Progress(), BOUNDS, view(d=Mode.DRAINS, e=Mode.GONE))
     assert not both.out and "2 out of service (d, e)" in both.stands
     unlisted = view()
-    del unlisted.seen["e"]
+    del unlisted.hosts["e"]
     assert out(decide(plan(), Progress(), BOUNDS, unlisted)) == {"a": Stage.DRAINS}
 
 
 def test_a_cluster_file_with_a_lower_limit_begins_no_host_before_it_is_met():
-    three = Progress("r1", (Turn("a", Stage.DRAINS, 1), Turn("b", Stage.DRAINS, 1)))
+    three = Progress("r1", (HostUpdate("a", Stage.DRAINS, 1), HostUpdate("b", Stage.DRAINS, 1)))
     after = decide(plan(), three, replace(BOUNDS, most=1), view(a=Mode.DRAINS, b=Mode.DRAINS))
     assert len(after.out) == 2 and "1 may be" in after.stands
 
@@ -85,7 +85,7 @@
 def test_room_of_a_kind_and_cells_bound_what_is_out():
     fleet = {**FLEET, "p": ("press", 0), "q": ("press", 0)}
     wide = replace(BOUNDS, most=7, cells=9, room=0.5)
-    seen = View({host: Seen(Mode.SERVES, 1, 1000.0) for host in fleet})
+    seen = ClusterView({host: HostState(Mode.SERVES, 1, 1000.0) for host in fleet})
     progress = decide(plan(wide, fleet=fleet), Progress(), wide, seen)
     assert out(progress).keys() == {"a", "b", "p"}, "2 of 5 std, 1 of 2 press"
 
@@ -94,60 +94,60 @@
     "look, spent, after",
     [
         (None, 100.0, Stage.DRAINS),
-        (Look(1, False, 0, 0), 0.0, Stage.DRAINS),
-        (Look(1, True, 3, 0), 5.0, Stage.DRAINS),
-        (Look(1, True, 0, 0), 0.0, Stage.REPLACES),
-        (Look(1, True, 3, 0), 20.0, Stage.REPLACES),
-        (Look(1, True, 3, 1), 1e6, Stage.DRAINS),
+        (DrainState(1, False, 0, 0), 0.0, Stage.DRAINS),
+        (DrainState(1, True, 3, 0), 5.0, Stage.DRAINS),
+        (DrainState(1, True, 0, 0), 0.0, Stage.REPLACES),
+        (DrainState(1, True, 3, 0), 20.0, Stage.REPLACES),
+        (DrainState(1, True, 3, 1), 1e6, Stage.DRAINS),
     ],
     ids=["never heard", "not draining", "has work", "empty", "patience over", "irreversible"],
 )
 def test_a_drain_lasts_until_its_work_or_patience_is_over_and_irreversible_work_always(look, spent, after):
-    begun = Progress("r1", (Turn("a", Stage.DRAINS, 1, spent),))
+    begun = Progress("r1", (HostUpdate("a", Stage.DRAINS, 1, spent),))
     looks = {} if look is None else {"a": look}
-    assert out(decide(plan(), begun, BOUNDS, replace(view(a=Mode.DRAINS), looks=looks)))["a"] is after
+    assert out(decide(plan(), begun, BOUNDS, replace(view(a=Mode.DRAINS), drains=looks)))["a"] is after
 
 
 def test_a_host_that_died_in_its_drain_is_replaced_only_after_it_was_silent_for_long():
-    begun = Progress("r1", (Turn("a", Stage.DRAINS, 1),))
-    held = {"a": Look(1, True, 2, 1)}
+    begun = Progress("r1", (HostUpdate("a", Stage.DRAINS, 1),))
+    held = {"a": DrainState(1, True, 2, 1)}
     for silent, stage in ((5.0, Stage.DRAINS), (20.0, Stage.REPLACES)):
-        gone = replace(view(a=Mode.GONE), looks=held, silent={"a": silent})
+        gone = replace(view(a=Mode.GONE), drains=held, unresponsive_seconds={"a": silent})
         assert out(decide(plan(), begun, BOUNDS, gone))["a"] is stage
-    answers = replace(view(a=Mode.DRAINS), looks=held, silent={"a": 1e6})
+    answers = replace(view(a=Mode.DRAINS), drains=held, unresponsive_seconds={"a": 1e6})
     assert out(decide(plan(), begun, BOUNDS, answers))["a"] is Stage.DRAINS, (
         "listed: it may be cut off from here alone"
     )
 
 
 def test_a_host_that_came_back_by_itself_drains_in_its_new_life_and_stays_out_meanwhile():
-    begun = Progress("r1", (Turn("a", Stage.DRAINS, 1, 15.0),))
-    back = replace(view(a=Seen(Mode.SERVES, 2, 3.0)), looks={"a": Look(2, False, 1, 0)})
-    assert decide(plan(), begun, BOUNDS, back).out[0] == Turn("a", Stage.DRAINS, 2)
-    found = Progress("r1", (Turn("a", Stage.REPLACES, 1),))
-    assert decide(plan(), found, BOUNDS, replace(view(), others={"a": 7})).out[0] == Turn(
+    begun = Progress("r1", (HostUpdate("a", Stage.DRAINS, 1, 15.0),))
+    back = replace(view(a=HostState(Mode.SERVES, 2, 3.0)), drains={"a": DrainState(2, False, 1, 0)})
+    assert decide(plan(), begun, BOUNDS, back).out[0] == HostUpdate("a", Stage.DRAINS, 2)
+    found = Progress("r1", (HostUpdate("a", Stage.REPLACES, 1),))
+    assert decide(plan(), found, BOUNDS, replace(view(), unexpected_boots={"a": 7})).out[0] == HostUpdate(
         "a", Stage.DRAINS, 7
     )
 
 
 def test_a_successor_counts_once_it_serves_and_is_warm_and_the_tool_said_so():
-    begun = Progress("r1", (Turn("a", Stage.REPLACES, 1),))
-    warm, young = Seen(Mode.SERVES, 2, 5.0), Seen(Mode.SERVES, 2, 4.9)
+    begun = Progress("r1", (HostUpdate("a", Stage.REPLACES, 1),))
+    warm, young = HostState(Mode.SERVES, 2, 5.0), HostState(Mode.SERVES, 2, 4.9)
     told = frozenset({("a", 1)})
     assert decide(plan(), begun, BOUNDS, replace(view(a=warm), replaced=told)).done == (0,)
     for stands, replaced in (
         (young, told),
         (warm, frozenset()),
-        (Seen(Mode.SERVES, 1, 99.0), told),
-        (Seen(Mode.DRAINS, 2, 99.0), told),
+        (HostState(Mode.SERVES, 1, 99.0), told),
+        (HostState(Mode.DRAINS, 2, 99.0), told),
     ):
         after = decide(plan(), begun, BOUNDS, replace(view(a=stands), replaced=replaced))
         assert not after.done and out(after)["a"] is Stage.REPLACES
 
 
 def test_paused_and_aborted_campaigns_see_out_what_is_out_and_begin_nothing():
-    begun = Progress("r1", (Turn("a", Stage.REPLACES, 1),))
-    back = replace(view(a=Seen(Mode.SERVES, 2, 9.0)), replaced=frozenset({("a", 1)}))
+    begun = Progress("r1", (HostUpdate("a", Stage.REPLACES, 1),))
+    back = replace(view(a=HostState(Mode.SERVES, 2, 9.0)), replaced=frozenset({("a", 1)}))
     for want in (Want.PAUSE, Want.ABORT):
         assert out(decide(plan(want=want), begun, BOUNDS, view(a=Mode.GONE))) == {"a": Stage.REPLACES}
     paused = decide(plan(want=Want.PAUSE), begun, BOUNDS, back)
@@ -159,8 +159,8 @@
 
 def test_it_pauses_by_itself_on_strain_or_an_old_view_and_says_why():
     for changed in (
-        {"strained": "40% of launches were turned away"},
-        {"blind": "the list of hosts is 20 s old"},
+        {"overload_reason": "40% of launches were turned away"},
+        {"stale_reason": "the list of hosts is 20 s old"},
     ):
         after = decide(plan(), Progress(), BOUNDS, replace(view(), **changed))
         assert not after.out and after.stands == next(iter(changed.values()))
@@ -169,13 +169,15 @@
 def test_it_goes_on_without_hosts_that_stay_away_and_names_them_at_its_end():
     rest = Progress("r1", (), (0, 1, 2, 3))
     assert (
-        decide(plan(), rest, BOUNDS, replace(view(e=Mode.GONE), absent=29.0)).stands
+        decide(plan(), rest, BOUNDS, replace(view(e=Mode.GONE), idle_seconds=29.0)).stands
         == "e waits: is not there"
     )
-    left = decide(plan(), rest, BOUNDS, replace(view(e=Mode.DRAINS), absent=30.0))
+    left = decide(plan(), rest, BOUNDS, replace(view(e=Mode.DRAINS), idle_seconds=30.0))
     assert left.left == {4: "drains by another hand"}
     ended = decide(plan(), left, BOUNDS, view())
-    assert ended.ended == "done" and "left out: e drains by another hand" in campaign.counted(plan(), ended)
+    assert ended.ended == "done" and "left out: e drains by another hand" in campaign.describe_progress(
+        plan(), ended
+    )
 
 
 @pytest.mark.parametrize(
@@ -192,15 +194,17 @@
     ids=["room", "none", "size"],
 )
 def test_a_plan_that_could_not_be_carried_out_is_refused(bounds, fleet, said):
-    with pytest.raises(Refusal, match=said.replace("(", "\\(")):
-        checked(plan(bounds, fleet=fleet), View({}))
+    with pytest.raises(DutyError, match=said.replace("(", "\\(")):
+        validate(plan(bounds, fleet=fleet), ClusterView({}))
 
 
 def test_four_hundred_hosts_of_usual_names_fit_into_one_plan():
     fleet = {f"h{n:03}": ("std", n // 8) for n in range(400)}
-    whole = checked(plan(BOUNDS, fleet=fleet), View({}))
-    progress = Progress("r1", (Turn("h399", Stage.REPLACES, 1 << 60),), tuple(range(399)), {}, "", "x" * 200)
-    assert len(campaign.encoded(progress)) < duty.MOST_PROGRESS and len(whole.targets) == 400
+    whole = validate(plan(BOUNDS, fleet=fleet), ClusterView({}))
+    progress = Progress(
+        "r1", (HostUpdate("h399", Stage.REPLACES, 1 << 60),), tuple(range(399)), {}, "", "x" * 200
+    )
+    assert len(campaign.encode(progress)) < duty.MAX_PROGRESS_BYTES and len(whole.targets) == 400
 
 
 def test_an_operators_choice_takes_hosts_that_fit_all_of_it_and_names_those_that_are_not_there():
@@ -216,7 +220,7 @@
     assert planned("r", hosts, Choice(("h1",)), replace(wide, most=9), wide).bounds.most == 2, (
         "the cluster file's"
     )
-    with pytest.raises(Refusal, match="h9"):
+    with pytest.raises(DutyError, match="h9"):
         planned("r", hosts, Choice(("h1", "h9")), wide, wide)
 
 
@@ -256,35 +260,38 @@
 
 
 def test_nothing_is_ordered_before_it_stands_in_the_council():
-    course = Campaigner(Progress(), 0.0)
-    course.hear(census(1, 1), 0.0)
-    after = course.step(plan(), BOUNDS, view().seen, 0.0, 1.0)
+    course = CampaignRunner(Progress(), 0.0)
+    course.receive_census(census(1, 1), 0.0)
+    after = course.step(plan(), BOUNDS, view().hosts, 0.0, 1.0)
     assert after.out and not course.orders()
-    course.written(after, 1.0)
-    assert {(order.kind, order.host) for order in course.orders()} == {(Kind.DRAIN, "a"), (Kind.DRAIN, "b")}
-    assert course.step(plan(), BOUNDS, view(a=Mode.DRAINS, b=Mode.DRAINS).seen, 0.0, 2.0).stands
+    course.mark_stored(after, 1.0)
+    assert {(order.kind, order.host) for order in course.orders()} == {
+        (OrderKind.DRAIN, "a"),
+        (OrderKind.DRAIN, "b"),
+    }
+    assert course.step(plan(), BOUNDS, view(a=Mode.DRAINS, b=Mode.DRAINS).hosts, 0.0, 2.0).stands
     for order in course.orders():
-        course.told(order, Reply(True, 1, True), 3.0)
-    assert {order.kind for order in course.orders()} == {Kind.DRAIN}, "not written yet"
+        course.receive_reply(order, OrderReply(True, 1, True), 3.0)
+    assert {order.kind for order in course.orders()} == {OrderKind.DRAIN}, "not written yet"
 
 
 def test_time_out_of_service_goes_on_from_owner_to_owner():
-    begun = Progress("r1", (Turn("a", Stage.DRAINS, 1, 15.0),))
-    course = Campaigner(begun, 100.0)
-    course.hear(census(1, 1), 100.0)
+    begun = Progress("r1", (HostUpdate("a", Stage.DRAINS, 1, 15.0),))
+    course = CampaignRunner(begun, 100.0)
+    course.receive_census(census(1, 1), 100.0)
     order = course.orders()[0]
-    course.told(order, Reply(True, 1, True, jobs=2), 101.0)
-    assert out(course.step(plan(want=Want.PAUSE), BOUNDS, view().seen, 0.0, 104.0)) == {"a": Stage.DRAINS}
-    assert out(course.step(plan(want=Want.PAUSE), BOUNDS, view().seen, 0.0, 105.0)) == {"a": Stage.REPLACES}
+    course.receive_reply(order, OrderReply(True, 1, True, jobs=2), 101.0)
+    assert out(course.step(plan(want=Want.PAUSE), BOUNDS, view().hosts, 0.0, 104.0)) == {"a": Stage.DRAINS}
+    assert out(course.step(plan(want=Want.PAUSE), BOUNDS, view().hosts, 0.0, 105.0)) == {"a": Stage.REPLACES}
 
 
 def test_strain_pauses_between_two_censuses_and_ends_well_under_the_limit():
-    course = Campaigner(Progress(), 0.0)
-    seen = view().seen
+    course = CampaignRunner(Progress(), 0.0)
+    seen = view().hosts
 
     def stands(number, now, **figures):
-        course.hear(census(1, number, **figures), now)
-        after = course.step(plan(), BOUNDS, seen, 0.0, now) or course.stands
+        course.receive_census(census(1, number, **figures), now)
+        after = course.step(plan(), BOUNDS, seen, 0.0, now) or course.stored
         return after.stands if not after.out else "begins"
 
     assert stands(1, 0.0, launches=100, refused=90) == "begins", "one census shows nothing of now"
@@ -301,7 +308,7 @@
     assert stands(8, 21.0, launches=705, refused=171, taken=91, waiting=9) == "begins", (
         "of so few it tells nothing"
     )
-    assert "no census for 16 s" in (course.step(plan(), BOUNDS, seen, 0.0, 37.0) or course.stands).stands
+    assert "no census for 16 s" in (course.step(plan(), BOUNDS, seen, 0.0, 37.0) or course.stored).stands
     assert "list of hosts is 16 s old" in course.step(plan(), BOUNDS, seen, 16.0, 38.0).stands
 
 
@@ -342,7 +349,7 @@
     assert clean.steps > 100
 
 
-hinders, moved = campaign.hinders, campaign.moved
+blocking_reason, advance_host = campaign.blocking_reason, campaign.advance_host
 
 
 def forgets_deaths(plan, progress, view):
@@ -350,45 +357,45 @@
 
 
 def moves_irreversible(turn, bounds, view):
-    look = view.looks.get(turn.host)
+    look = view.drains.get(turn.host)
     if look is not None:
-        view = replace(view, looks={**view.looks, turn.host: replace(look, irreversible=0)})
-    return moved(turn, bounds, view)
+        view = replace(view, drains={**view.drains, turn.host: replace(look, irreversible=0)})
+    return advance_host(turn, bounds, view)
 
 
 def any_look(turn, bounds, view):
-    look = view.looks.get(turn.host)
+    look = view.drains.get(turn.host)
     if look is not None:
-        view = replace(view, looks={**view.looks, turn.host: replace(look, draining=True, jobs=0)})
-    return moved(turn, bounds, view)
+        view = replace(view, drains={**view.drains, turn.host: replace(look, draining=True, jobs=0)})
+    return advance_host(turn, bounds, view)
 
 
 def drains_again(turn, bounds, view):
     """A successor that serves, taken for the host that was to drain."""
-    seen = view.seen.get(turn.host)
+    seen = view.hosts.get(turn.host)
     if (
         turn.stage is Stage.REPLACES
         and seen is not None
         and seen.mode is Mode.SERVES
         and seen.boot != turn.boot
     ):
-        return Turn(turn.host, Stage.DRAINS, seen.boot)
-    return moved(turn, bounds, view)
+        return HostUpdate(turn.host, Stage.DRAINS, seen.boot)
+    return advance_host(turn, bounds, view)
 
 
 WITHOUT = {
     "a limit that is not looked at": (
         campaign,
-        "hinders",
-        lambda plan, bounds, view, out, host: hinders(
+        "blocking_reason",
+        lambda plan, bounds, view, out, host: blocking_reason(
             plan, replace(bounds, most=99, cells=99, room=1.0), view, set(), host
         ),
     ),
     "deaths that do not count": (campaign, "out_of_service", forgets_deaths),
-    "progress that is not handed on": (campaign, "read", lambda body, kind: Progress()),
-    "irreversible jobs not waited for": (campaign, "moved", moves_irreversible),
-    "a host's word before it drains": (campaign, "moved", any_look),
-    "a successor taken for its predecessor": (campaign, "moved", drains_again),
+    "progress that is not handed on": (campaign, "decode", lambda body, kind: Progress()),
+    "irreversible jobs not waited for": (campaign, "advance_host", moves_irreversible),
+    "a host's word before it drains": (campaign, "advance_host", any_look),
+    "a successor taken for its predecessor": (campaign, "advance_host", drains_again),
 }
 
 
@@ -445,7 +452,7 @@
         self.change(
             1.0,
             "campaign/plan",
-            campaign.encoded(drawn("r", {"a", "b"}, fleet, Bounds(most=1, cells=9, room=1))),
+            campaign.encode(make_plan("r", {"a", "b"}, fleet, Bounds(most=1, cells=9, room=1))),
         )
 
     def open(self, to, role, name, t):
@@ -477,8 +484,8 @@
             self.r.data(t, self.council, "<", encode(pb.CouncilTold(number=self.numbers, outcome="DONE")))
 
     def progress(self, t, *out, token=1, made=True, **rest):
-        body = campaign.encoded(Progress("r", tuple(out), **rest))
-        self.change(t, "duty/campaign", duty.encoded(Duty(f"c{token}/1", token, 6.0, 1, "", body)), made)
+        body = campaign.encode(Progress("r", tuple(out), **rest))
+        self.change(t, "duty/campaign", duty.encode(Duty(f"c{token}/1", token, 6.0, 1, "", body)), made)
 
     def order(
         self, t, kind, host, boot=1, token=1, owner="", told=0.0, done=True, draining=False, irreversible=0
@@ -510,9 +517,9 @@
 
 
 def whole(record):
-    record.progress(2.0, Turn("a", Stage.DRAINS, 1))
+    record.progress(2.0, HostUpdate("a", Stage.DRAINS, 1))
     record.order(3.0, pb.HOST_DRAIN, "a")
-    record.progress(4.0, Turn("a", Stage.REPLACES, 1))
+    record.progress(4.0, HostUpdate("a", Stage.REPLACES, 1))
     record.r.mark(5.0, "replace", "a")
     record.order(5.0, pb.HOST_REPLACE, "a")
     record.listed(6.0, "a", 2, 0.5)
@@ -521,10 +528,10 @@
 
 def test_a_campaign_as_it_should_be_breaks_no_claim():
     record = whole(Record())
-    record.progress(8.0, Turn("b", Stage.DRAINS, 1), done=(0,))
+    record.progress(8.0, HostUpdate("b", Stage.DRAINS, 1), done=(0,))
     record.order(9.0, pb.HOST_DRAIN, "b")
     record.order(9.5, pb.HOST_DRAIN, "b", token=1)
-    record.progress(9.8, Turn("b", Stage.DRAINS, 1), token=2, done=(0,))
+    record.progress(9.8, HostUpdate("b", Stage.DRAINS, 1), token=2, done=(0,))
     record.order(10.0, pb.HOST_DRAIN, "b", token=2)
     record.order(11.0, pb.HOST_DRAIN, "b", token=1, done=False)
     record.progress(12.0, token=2, done=(0, 1), ended="done")
@@ -547,17 +554,17 @@
 def test_an_order_ahead_of_its_progress_is_seen():
     record = Record()
     record.order(3.0, pb.HOST_DRAIN, "a")
-    record.progress(3.5, Turn("a", Stage.DRAINS, 1))
+    record.progress(3.5, HostUpdate("a", Stage.DRAINS, 1))
     assert record.breaches() == {"planned"}
     record = Record()
-    record.progress(2.0, Turn("a", Stage.DRAINS, 1), made=False)
+    record.progress(2.0, HostUpdate("a", Stage.DRAINS, 1), made=False)
     record.order(3.0, pb.HOST_DRAIN, "a")
     assert "planned" in record.breaches()
 
 
 def test_a_second_drain_after_the_replacement_is_seen():
     record = whole(Record())
-    record.progress(8.0, Turn("a", Stage.DRAINS, 2))
+    record.progress(8.0, HostUpdate("a", Stage.DRAINS, 2))
     record.order(9.0, pb.HOST_DRAIN, "a", boot=2)
     assert record.breaches() == {"twice"}
 
@@ -566,21 +573,21 @@
 def test_a_death_counts_once_it_must_be_known(since, broken):
     record = whole(Record())
     record.r.mark(since, "kill", "a")
-    record.progress(8.8, Turn("b", Stage.DRAINS, 1), done=(0,))
+    record.progress(8.8, HostUpdate("b", Stage.DRAINS, 1), done=(0,))
     record.order(9.0, pb.HOST_DRAIN, "b")
     if since > 6:
         assert record.breaches() == broken
     else:  # dead since before its replacement was there; never back
         other = Record()
         other.r.mark(since, "kill", "a")
-        other.progress(8.8, Turn("b", Stage.DRAINS, 1))
+        other.progress(8.8, HostUpdate("b", Stage.DRAINS, 1))
         other.order(9.0, pb.HOST_DRAIN, "b")
         assert other.breaches() == broken
 
 
 def test_two_out_where_one_may_be_is_seen():
     record = Record()
-    record.progress(2.0, Turn("a", Stage.DRAINS, 1), Turn("b", Stage.DRAINS, 1))
+    record.progress(2.0, HostUpdate("a", Stage.DRAINS, 1), HostUpdate("b", Stage.DRAINS, 1))
     record.order(3.0, pb.HOST_DRAIN, "a")
     record.order(4.0, pb.HOST_DRAIN, "b")
     assert record.breaches() == {"limit"}
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -2,25 +2,25 @@
 
 import pytest
 
-from linedeal.council import moves, witness
+from linedeal.council import reconfiguration, staleness
 from linedeal.council.member import Member
 from linedeal.council.records import (
     MOST_BODY,
-    ROSTER,
-    Answer,
-    Ask,
+    ROSTER_KEY,
+    Response,
+    Request,
     Change,
-    Fault,
+    InvalidRequestError,
     Identity,
-    Keep,
-    Mark,
+    Persist,
+    ReplicaVersion,
     Outcome,
     Roster,
     Send,
-    Timing,
+    MemberOptions,
     Value,
 )
-from linedeal.council.slots import changed
+from linedeal.council.slots import apply_change
 from linedeal.lab import faulty
 from linedeal.lab.explore import Budget, Case, exhaust, half, reader, replacing, wander, writer
 from linedeal.lab.history import Op, linearizable
@@ -34,7 +34,7 @@
         self.disks = {}
         self.members: dict[str, Member] = {}
         self.incarnations = {}
-        self.answers: list[Answer] = []
+        self.answers: list[Response] = []
         self.cut: set[str] = set()
         self.starts = self.now = 0
         for name in running or named:
@@ -52,11 +52,11 @@
 
     def carry(self, name: str, effects: list) -> None:
         for effect in effects:
-            if type(effect) is Keep:
+            if type(effect) is Persist:
                 self.disks[name].update(effect.records)
             elif type(effect) is Send and effect.to in self.members and not self.cut & {name, effect.to}:
-                self.carry(effect.to, self.members[effect.to].hear(effect.packet, self.now))
-            elif type(effect) is Answer:
+                self.carry(effect.to, self.members[effect.to].receive(effect.packet, self.now))
+            elif type(effect) is Response:
                 self.answers.append(effect)
 
     def wait(self, seconds: float) -> None:
@@ -64,20 +64,25 @@
         while self.now < until:
             self.now += 0.1
             for name, member in list(self.members.items()):
-                if name in self.members and self.now >= member.next():
+                if name in self.members and self.now >= member.next_tick():
                     self.carry(name, member.tick(self.now))
 
-    def ask(self, at: str, change: Change | None, key: str = "k", wait: float = 0.5) -> Answer:
+    def ask(self, at: str, change: Change | None, key: str = "k", wait: float = 0.5) -> Response:
         self.carry(
-            at, self.members[at].ask(Ask(len(self.answers), "c", key, change, self.now + wait), self.now)
+            at,
+            self.members[at].submit(Request(len(self.answers), "c", key, change, self.now + wait), self.now),
         )
         self.wait(wait + 0.2)
         return self.answers[-1]
 
-    def replace(self, at: str, old: str, new: str) -> Answer:
-        roster = moves.replaced(self.members[at].roster, old, self.members[at].candidates()[new])
-        version = self.ask(at, None, ROSTER).value.version
-        return self.ask(at, Change(f"{old}-{new}", version, moves.encoded(roster)), ROSTER, 3.0)
+    def replace(self, at: str, old: str, new: str) -> Response:
+        roster = reconfiguration.replace_member(
+            self.members[at].roster, old, self.members[at].candidates()[new]
+        )
+        version = self.ask(at, None, ROSTER_KEY).value.version
+        return self.ask(
+            at, Change(f"{old}-{new}", version, reconfiguration.encode_roster(roster)), ROSTER_KEY, 3.0
+        )
 
 
 def test_members_that_were_never_of_a_council_form_one_when_all_agree():
@@ -118,7 +123,7 @@
     town.start("c", lost=True)
     town.wait(3)
     lost = town.members["c"]
-    assert not lost.may_vote() and lost.elsewhere == town.members["a"].roster
+    assert not lost.may_vote() and lost.excluded_by == town.members["a"].roster
     assert town.ask("c", None).outcome is Outcome.UNREADY
     assert town.replace("a", "c", "c").outcome is Outcome.DONE
     town.wait(3)
@@ -148,7 +153,7 @@
     town.wait(3)
     assert not town.members["c"].may_vote()
     assert town.ask("a", None).outcome is Outcome.UNKNOWN
-    town.carry("c", town.members["c"].vouch(town.now))
+    town.carry("c", town.members["c"].confirm_directory(town.now))
     assert town.ask("a", None).outcome is Outcome.READ
 
 
@@ -159,9 +164,9 @@
     pulses = []
     town.carry = lambda name, effects: pulses.extend(one for one in effects if type(one) is Send)
     town.start("a")
-    from_b = [one for one in town.members["b"].hear(pulses[0].packet, town.now) if type(one) is Send]
+    from_b = [one for one in town.members["b"].receive(pulses[0].packet, town.now) if type(one) is Send]
     town.start("a")
-    town.members["a"].hear(from_b[-1].packet, town.now)
+    town.members["a"].receive(from_b[-1].packet, town.now)
     assert "b" not in town.members["a"].known_by
 
 
@@ -184,10 +189,12 @@
     town.wait(2)
     town.start("d")
     town.wait(1.5)
-    roster = moves.replaced(town.members["a"].roster, "c", town.members["a"].candidates()["d"])
+    roster = reconfiguration.replace_member(
+        town.members["a"].roster, "c", town.members["a"].candidates()["d"]
+    )
     for name in "ab":
         town.members[name].seal(roster)
-        town.carry(name, town.members[name].done())
+        town.carry(name, town.members[name].take_effects())
     town.wait(3)
     assert town.members["d"].roster == town.members["a"].roster == roster
 
@@ -197,12 +204,12 @@
     town.wait(1.1)
     assert town.ask("a", Change("w", 0, b"1")).outcome is Outcome.DONE
     alone = town.members["a"]
-    alone.timing = Timing(most_of_client=2000, most_waiting=2000)
+    alone.timing = MemberOptions(most_of_client=2000, most_waiting=2000)
     alone.sealed = alone.roster
     for number in range(1500):
-        alone.ask(Ask(number, "c", "k", None, 1e9), town.now)
+        alone.submit(Request(number, "c", "k", None, 1e9), town.now)
     alone.sealed = None
-    assert len([one for one in alone.tick(town.now + 1) if type(one) is Answer]) == 1500
+    assert len([one for one in alone.tick(town.now + 1) if type(one) is Response]) == 1500
 
 
 def test_what_waits_is_bounded_a_client_and_in_all_and_ends_by_its_time():
@@ -214,21 +221,21 @@
     for client, number in [("one", n) for n in range(40)] + [("two", n) for n in range(3)]:
         answers += [
             one
-            for one in member.ask(Ask(number, client, "k", None, town.now + 1), town.now)
-            if type(one) is Answer
+            for one in member.submit(Request(number, client, "k", None, town.now + 1), town.now)
+            if type(one) is Response
         ]
-    assert [(one.ask.client, one.outcome) for one in answers] == [("one", Outcome.BUSY)] * 8
-    late = [one for one in member.tick(town.now + 2) if type(one) is Answer]
+    assert [(one.request.client, one.outcome) for one in answers] == [("one", Outcome.BUSY)] * 8
+    late = [one for one in member.tick(town.now + 2) if type(one) is Response]
     assert len(late) == 35 and {one.outcome for one in late} == {Outcome.UNKNOWN}
-    with pytest.raises(Fault, match="k: 8193 bytes, a register holds 8192 at most"):
-        member.ask(Ask(1, "c", "k", Change("w", 0, bytes(MOST_BODY + 1)), 1e9), town.now)
+    with pytest.raises(InvalidRequestError, match="k: 8193 bytes, a register holds 8192 at most"):
+        member.submit(Request(1, "c", "k", Change("w", 0, bytes(MOST_BODY + 1)), 1e9), town.now)
 
 
 def test_after_a_failed_write_a_member_says_nothing_and_answers_what_waits():
     town = Town()
     town.wait(2)
     member = town.members["a"]
-    member.ask(Ask(1, "c", "k", None, 1e9), town.now)
+    member.submit(Request(1, "c", "k", None, 1e9), town.now)
     assert [one.outcome for one in member.fail("disk full")] == [Outcome.UNKNOWN]
     assert member.tick(town.now + 9) == [] and not member.may_vote()
 
@@ -238,41 +245,49 @@
     town.wait(2)
     stranger = Member(Identity("b", 1), "other", ("a", "b", "c"), {}, 9, half)
     packets = [one.packet for one in stranger.begin(0.0) if type(one) is Send]
-    assert packets and [town.members["a"].hear(packet, town.now) for packet in packets] == [[]] * len(packets)
+    assert packets and [town.members["a"].receive(packet, town.now) for packet in packets] == [[]] * len(
+        packets
+    )
 
 
 @pytest.mark.parametrize(
     "said, expected",
     [
-        (Mark("c", 1, 2, 20, 5, 7), (witness.Sight.KNOWN, 7)),
-        (Mark("c", 1, 2, 20, 5, 9), (witness.Sight.NEWER, 9)),
-        (Mark("c", 1, 3, 30, 8, 9), (witness.Sight.NEWER, 9)),
-        (Mark("c", 1, 3, 30, 6, 9), (witness.Sight.LATE, 7)),  # born before writes that were seen
-        (Mark("c", 1, 2, 30, 8, 9), (witness.Sight.LATE, 7)),  # a second process in the same life
-        (Mark("c", 1, 1, 10, 0, 5), (witness.Sight.LATE, 7)),
+        (ReplicaVersion("c", 1, 2, 20, 5, 7), (staleness.Freshness.KNOWN, 7)),
+        (ReplicaVersion("c", 1, 2, 20, 5, 9), (staleness.Freshness.NEWER, 9)),
+        (ReplicaVersion("c", 1, 3, 30, 8, 9), (staleness.Freshness.NEWER, 9)),
+        (
+            ReplicaVersion("c", 1, 3, 30, 6, 9),
+            (staleness.Freshness.STALE, 7),
+        ),  # born before writes that were seen
+        (
+            ReplicaVersion("c", 1, 2, 30, 8, 9),
+            (staleness.Freshness.STALE, 7),
+        ),  # a second process in the same life
+        (ReplicaVersion("c", 1, 1, 10, 0, 5), (staleness.Freshness.STALE, 7)),
     ],
 )
 def test_what_a_mark_shows(said, expected):
-    shown, newest = witness.sight(Mark("c", 1, 2, 20, 5, 7), said)
+    shown, newest = staleness.check_freshness(ReplicaVersion("c", 1, 2, 20, 5, 7), said)
     assert (shown, newest.writes) == expected
 
 
 def test_word_of_an_earlier_life_proves_nothing_against_this_one():
-    mine = Mark("c", 1, 3, 30, 8, 9)
-    assert not witness.outdated(mine, Mark("c", 1, 2, 20, 5, 8))
-    assert witness.outdated(mine, Mark("c", 1, 2, 20, 5, 9)) and witness.outdated(
-        mine, Mark("c", 1, 3, 31, 8, 8)
+    mine = ReplicaVersion("c", 1, 3, 30, 8, 9)
+    assert not staleness.is_outdated(mine, ReplicaVersion("c", 1, 2, 20, 5, 8))
+    assert staleness.is_outdated(mine, ReplicaVersion("c", 1, 2, 20, 5, 9)) and staleness.is_outdated(
+        mine, ReplicaVersion("c", 1, 3, 31, 8, 8)
     )
 
 
 def test_a_change_is_known_by_its_id_while_remembered():
     value = Value()
     for version in range(40):
-        value = changed(value, Change(f"w{version}", version, b""))[1]
-    assert changed(value, Change("w20", 20, b""))[0] is Outcome.DONE
-    assert changed(value, Change("x", 20, b""))[0] is Outcome.CONFLICT
-    assert changed(value, Change("w3", 3, b""))[0] is Outcome.UNKNOWN
-    assert changed(value, Change("x", 41, b""))[0] is Outcome.CONFLICT
+        value = apply_change(value, Change(f"w{version}", version, b""))[1]
+    assert apply_change(value, Change("w20", 20, b""))[0] is Outcome.DONE
+    assert apply_change(value, Change("x", 20, b""))[0] is Outcome.CONFLICT
+    assert apply_change(value, Change("w3", 3, b""))[0] is Outcome.UNKNOWN
+    assert apply_change(value, Change("x", 41, b""))[0] is Outcome.CONFLICT
 
 
 @pytest.mark.parametrize(
@@ -284,8 +299,8 @@
     ],
 )
 def test_a_replacement_that_cannot_be_is_refused(old, new, says):
-    with pytest.raises(Fault, match=says):
-        moves.replaced(Roster(1, (Identity("a", 1), Identity("b", 2))), old, new)
+    with pytest.raises(InvalidRequestError, match=says):
+        reconfiguration.replace_member(Roster(1, (Identity("a", 1), Identity("b", 2))), old, new)
 
 
 def test_histories_that_no_one_register_gives_are_found():
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 from linedeal.client.client import Client, JobAsk
 from linedeal.council.records import Change, Outcome
 from linedeal.duties import census, duty
-from linedeal.duties.duty import Refusal
+from linedeal.duties.duty import DutyError
 from linedeal.fleet import apart, operator
 from linedeal.fleet.asker import Asker
 from linedeal.fleet.disk import CouncilDisk
@@ -55,8 +55,8 @@
     async def sample(self) -> None:
         while True:
             for name, kept, read in (
-                (CENSUS, self.duties, duty.decoded),
-                (census.RESULT, self.results, self.result),
+                (CENSUS, self.duties, duty.decode),
+                (census.CENSUS_KEY, self.results, self.result),
             ):
                 told = await self.asker.read(name, 1.0)
                 if told.outcome is Outcome.READ and told.value.body:
@@ -64,7 +64,7 @@
             await anyio.sleep(0.1)
 
     def result(self, body: bytes) -> census.Census:
-        return census.read(body, census.Census)
+        return census.decode(body, census.Census)
 
     async def until(self, holds, within: float = 15.0) -> None:
         """Fails the test with what was seen last."""
@@ -284,9 +284,9 @@
         settings = CouncilSettings(id="lapa", places={"c1": ("127.0.0.1", 1)})
         async with Asker(settings, "tester", "", TcpNet(), lambda: 0.5) as asker:
             await asker.read("x", 0.2)
-            raise Refusal("as it is")
+            raise DutyError("as it is")
 
-    with pytest.raises(Refusal, match="as it is"):
+    with pytest.raises(DutyError, match="as it is"):
         anyio.run(main)
 
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -8,7 +8,7 @@
 
 from linedeal import audit
 from linedeal.audit.duties import carried_out, judge_duties
-from linedeal.duties.duty import Refusal
+from linedeal.duties.duty import DutyError
 from linedeal.fleet.operator import Unlearned
 from linedeal.lab.day import DayFault, parse_day
 from linedeal.lab.play import play
@@ -218,7 +218,7 @@
     async def course(release):
         operator = release.ground.operator
         await release.until(release.begun)
-        with pytest.raises(Refusal, match="r1 is not over"):
+        with pytest.raises(DutyError, match="r1 is not over"):
             await operator.begin("r2", ("h01",), {})
         await operator.wish("r1", "pause")
 
@@ -231,14 +231,14 @@
         assert 0 < done < 3
         await operator.wish("r1", "resume")
         await release.until(release.over, 60)
-        with pytest.raises(Refusal, match="r1 has been"):
+        with pytest.raises(DutyError, match="r1 has been"):
             await operator.begin("r1", ("h01",), {})
-        with pytest.raises(Refusal, match="not among the hosts that serve: h03"):
+        with pytest.raises(DutyError, match="not among the hosts that serve: h03"):
             await operator.begin("r2", ("h02", "h03"), {})
         await operator.begin("r3", ("h05", "h06"), {"most": "1"})
         await release.until(release.begun)
         await operator.wish("r3", "abort")
-        with pytest.raises(Refusal, match="being aborted"):
+        with pytest.raises(DutyError, match="being aborted"):
             await operator.wish("r3", "resume")
 
     release = Release(tmp_path, "at 0.5 campaign r1 h01,h02,h03 most=2\nat 0.7 kill h03\n").play(course)
