--- a/linedeal/loop/garbage.py
+++ b/linedeal/loop/garbage.py
@@ -1,8 +1,9 @@
-"""When garbage in cycles is looked for through all that is held.
+"""Schedules full garbage collections for moments at which the event loop is idle.
 
-The interpreter does that as it sees fit: with thousands of jobs held it takes a tenth of a second and more, in which nothing
-is read or answered, and a loop that is busy is late already. Here it waits for a quiet moment. What the program has at its
-start is left out of every look; young objects are looked through as ever, which is short.
+By default the interpreter decides when to run a full collection. With thousands of jobs in memory one takes a
+tenth of a second or more, during which nothing is read or answered, and a busy loop is late already. Objects
+that exist when the program starts are excluded from all collections. Collections of the younger generations
+are short and run as usual.
 """
 
 import gc
@@ -11,27 +12,28 @@
 
 from linedeal.loop.lateness import Lateness
 
-LOOK = 0.5  # seconds between two looks whether the loop is quiet
-QUIET = 0.01  # seconds of lateness up to which it is
-BETWEEN = 10.0  # seconds between two full collections, at least
-MOST = (
-    120.0  # seconds after which one is made however busy the loop is: guards against memory that only grows
-)
-NEVER = 1 << 30  # collections of the middle generation after which the interpreter would make one
+CHECK_INTERVAL = 0.5  # seconds between two checks whether the loop is idle
+IDLE_LATENESS = 0.01  # seconds of lateness up to which the loop counts as idle
+MIN_INTERVAL = 10.0  # seconds between two full collections, at least
+# seconds after which a full collection runs however busy the loop is: bounds the growth of memory
+MAX_INTERVAL = 120.0
+# collections of the middle generation before the interpreter runs a full one by itself: practically never
+DISABLED_THRESHOLD = 1 << 30
 
 
 async def collect_garbage_when_idle(lateness: Lateness) -> None:
-    former = gc.get_threshold()
+    """Runs full collections while the loop is idle. When cancelled, restores the collector's settings."""
+    previous = gc.get_threshold()
     gc.freeze()
-    gc.set_threshold(*former[:2], NEVER)
+    gc.set_threshold(*previous[:2], DISABLED_THRESHOLD)
     try:
-        made_at = anyio.current_time()
+        collected_at = anyio.current_time()
         while True:
-            await anyio.sleep(LOOK)
-            since = anyio.current_time() - made_at
-            if since >= MOST or since >= BETWEEN and lateness.now() <= QUIET:
+            await anyio.sleep(CHECK_INTERVAL)
+            elapsed = anyio.current_time() - collected_at
+            if elapsed >= MAX_INTERVAL or elapsed >= MIN_INTERVAL and lateness.now() <= IDLE_LATENESS:
                 gc.collect()
-                made_at = anyio.current_time()
+                collected_at = anyio.current_time()
     finally:
-        gc.set_threshold(*former)
+        gc.set_threshold(*previous)
         gc.unfreeze()
--- a/linedeal/loop/inbox.py
+++ b/linedeal/loop/inbox.py
@@ -1,54 +1,58 @@
-"""Where links leave their events for the engine."""
+"""The queue in which links leave their events for the engine."""
 
 import anyio
 
 from linedeal.engine import events
 
-MAX_WAITING = (
-    4096  # events that may wait before links have to: a slow engine slows its peers, it does not swell
-)
-SHARE = 64  # events of one link in one turn
+# events that may wait before links are made to wait too: a slow engine slows its peers down, and its memory
+# is bounded
+MAX_WAITING = 4096
+LINK_QUOTA = 64  # events of one link in one engine step
 
 
-def dear(event) -> bool:
-    """A question whose answer is a page of standings costs as much as some hundred other events."""
+def is_expensive(event) -> bool:
+    """Whether the event asks for a page of job states, which costs as much as some hundred other events."""
     return type(event) is events.StatusRequested and not event.key
 
 
 class Inbox:
+    """Passes events on to the engine, with a bound on their number and a quota for each link and step."""
+
     def __init__(self, engine_put):
+        """`engine_put`: called with each event; the engine handles it in its next step."""
         self.engine_put = engine_put
         self.waiting = 0
         self.arrived = anyio.Event()
         self.taken = anyio.Event()
 
     def put(self, event) -> None:
-        """For the few that may not wait."""
+        """Adds an event at once, whatever the bound. For the few senders that cannot wait."""
         self.engine_put(event)
         self.waiting += 1
         self.arrived.set()
 
     async def post(self, *received) -> None:
-        """In order; waits while too many are there already, and after its share until the turn has taken that."""
+        """Adds events in order. Waits while the inbox is full, and after each quota until a step has handled
+        it.
+        """
         given = 0
         for event in received:
             if not given:
                 await self.wait_for_space()
             self.put(event)
             given += 1
-            if given == SHARE or dear(
-                event
-            ):  # guards against one link's flood that makes a turn long for all others
+            # guards against a flood on one link, which would make a step long for all others
+            if given == LINK_QUOTA or is_expensive(event):
                 await self.taken.wait()
                 given = 0
 
     async def wait_for_space(self) -> None:
-        """Waits while too many are there already."""
+        """Waits while the inbox is full."""
         while self.waiting >= MAX_WAITING:
             await self.taken.wait()
 
     def clear(self) -> None:
-        """The engine has taken all that was there."""
+        """Called after each step: the engine has taken all events, and senders that wait may go on."""
         self.waiting = 0
         self.arrived = anyio.Event()
         self.taken.set()
--- a/linedeal/loop/lateness.py
+++ b/linedeal/loop/lateness.py
@@ -1,21 +1,25 @@
-"""How late the loop is: what is read now may have lain in its socket for so long."""
+"""Measures how late the event loop runs: what is read now may have waited in its socket for that long."""
 
 import anyio
 
-EVERY = 0.02  # seconds between two beats
+INTERVAL = 0.02  # seconds between two samples
 
 
 class Lateness:
+    """Samples by how much a periodic sleep overruns."""
+
     def __init__(self):
-        self.last = 0.0  # seconds by which the last beat came late
-        self.due = float("inf")  # when the next one is due
+        """Reports a lateness of 0 until `run` has started."""
+        self.last = 0.0  # seconds by which the last sample was late
+        self.due = float("inf")  # loop time at which the next sample is due
 
     async def run(self) -> None:
+        """Takes samples until cancelled."""
         while True:
-            self.due = anyio.current_time() + EVERY
-            await anyio.sleep(EVERY)
+            self.due = anyio.current_time() + INTERVAL
+            await anyio.sleep(INTERVAL)
             self.last = max(0.0, anyio.current_time() - self.due)
 
     def now(self) -> float:
-        """Seconds: by the beat that is overdue, or by the last one."""
+        """The lateness in seconds: that of the last sample, or of the one that is overdue if that is more."""
         return max(self.last, anyio.current_time() - self.due)
