--- a/linedeal/engine/__init__.py
+++ b/linedeal/engine/__init__.py
@@ -1,4 +1,6 @@
-"""The controller without sockets: events in, effects out. No I/O, no clock and no chance of its own."""
+"""The controller's core: events in, effects out. It does no I/O and takes the time and the random seed as
+arguments.
+"""
 
 from linedeal.engine.engine import Engine
 
--- a/linedeal/engine/admission.py
+++ b/linedeal/engine/admission.py
@@ -1,26 +1,31 @@
-"""Whose job or link is taken when what a controller may hold is nearly used up. Free of I/O and clock."""
+"""Divides a bounded resource fairly among customers when it is nearly used up. No I/O, no clock."""
 
-RESERVE = 8  # one part in so many of what may be held is for customers that hold less than an even share
+# one part in RESERVE of the limit is left to customers that hold less than an even share
+RESERVE = 8
 
 
 class FairShares:
-    """How much each customer has of one thing that is bounded for all: jobs that wait, links, bytes of the journal."""
+    """How much each customer holds of one resource with a common limit: waiting jobs, links, bytes of the
+    journal.
+    """
 
     def __init__(self):
-        self.of: dict[str, int] = {}  # only of customers that have some
+        """Starts with nothing held."""
+        self.of: dict[str, int] = {}  # only customers that hold something
 
     def add(self, customer: str, amount: int) -> None:
-        """`amount` below 0 gives back."""
+        """Adds to what the customer holds; a negative `amount` gives back."""
         now = self.of.get(customer, 0) + amount
         if now:
             self.of[customer] = now
         else:
             del self.of[customer]
 
-    def admits(self, customer: str, held: int, most: int) -> bool:
-        """Whether this customer may have more, where `held` of at most `most` are in use by all.
+    def admits(self, customer: str, held: int, limit: int) -> bool:
+        """Whether this customer may have more, where all customers together hold `held` of at most `limit`.
 
-        Guards the others against one that fills all there is: an even share counts a place for one more to come.
+        Protects the others against one customer that uses up the whole limit. An even share is computed as if
+        one more customer were there.
 
         >>> shares = FairShares()
         >>> shares.add("crowd", 35)
@@ -29,6 +34,6 @@
         >>> shares.admits("school", 35, 40), shares.admits("school", 40, 40)
         (True, False)
         """
-        if held >= most:
+        if held >= limit:
             return False
-        return held < most - most // RESERVE or self.of.get(customer, 0) < most / (len(self.of) + 1)
+        return held < limit - limit // RESERVE or self.of.get(customer, 0) < limit / (len(self.of) + 1)
--- a/linedeal/engine/control.py
+++ b/linedeal/engine/control.py
@@ -1,4 +1,7 @@
-"""What an owner's order does to a job, by how the job stands. Free of I/O and clock; docs/recovery.md has the table."""
+"""What an owner's order does to a job, depending on the job's stage. No I/O, no clock.
+
+docs/recovery.md has the table.
+"""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -8,18 +11,24 @@
 
 
 class OrderKind(Enum):
+    """What an owner may order for its job."""
+
     HOLD = "hold"
     RELEASE = "release"
     END = "end"
 
 
 class Fault(Enum):
+    """Why an order is refused."""
+
     NONE = "done"
     NO_SUCH_JOB = "no such job in this session"
     WRONG_STATE = "not in this state"
 
 
 class OrderAction(Enum):
+    """What is done for an order."""
+
     NOTHING = "stands so already"
     HOLD = "taken from the module, its time stops"
     RELEASE = "back to the module"
@@ -31,6 +40,8 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderDecision:
+    """The action, and for a refusal its reason."""
+
     action: OrderAction
     reason: str = ""
 
@@ -38,13 +49,17 @@
 def decide_order(
     kind: OrderKind, entry: Entry, launch_out: bool, may_have_run: bool, effect: Effect
 ) -> OrderDecision:
-    """`launch_out`: sent or about to be, without an answer. `may_have_run`: an earlier launch of it may have."""
+    """What an order does.
+
+    `launch_out`: a launch is sent or about to be, without an answer. `may_have_run`: an earlier launch of the
+    job may have run. `effect`: of the job's offering.
+    """
     if entry.over:
         return OrderDecision(OrderAction.REFUSE, f"it has ended: {entry.stage.value}")
     if kind is OrderKind.END:
         if entry.stage in AT_HOST:
             return OrderDecision(OrderAction.STOP)
-        # a launch that is out cannot be known not to run: rule 2 leaves only "written off", unless repeats do no harm
+        # a launch without an answer may run: rule 2 allows only "written off", unless a repeat does no harm
         harmless = effect is Effect.REDOABLE or not (launch_out or may_have_run)
         return OrderDecision(OrderAction.REJECT if harmless else OrderAction.WRITE_OFF)
     if entry.stage in AT_HOST:
@@ -53,7 +68,7 @@
         if entry.stage is Stage.HELD:
             return OrderDecision(OrderAction.NOTHING)
         if launch_out:
-            # holding now would leave a yes on its way to a job that its owner believes held
+            # a hold now could cross the host's acceptance: the job would run while its owner believes it held
             return OrderDecision(OrderAction.REFUSE, "its launch is out")
         if may_have_run and effect is not Effect.REDOABLE:
             return OrderDecision(OrderAction.REFUSE, "a launch of it may have run, its window goes on")
--- a/linedeal/engine/effects.py
+++ b/linedeal/engine/effects.py
@@ -1,4 +1,4 @@
-"""What the engine wants done, in order."""
+"""Effects: what the engine wants done, in order."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,6 +10,8 @@
 
 
 class Verdict(Enum):
+    """The answer to a job."""
+
     PLACED = "placed"
     REJECTED = "rejected"
     WRITTEN_OFF = "written off"
@@ -17,54 +19,56 @@
 
 @dataclass(frozen=True, slots=True)
 class AddHost:
-    """The host is listed: a link to it may be asked for from now on."""
+    """The host is listed, or its entry has changed: from now on a link to it may be requested."""
 
     host: ListedHost
 
 
 @dataclass(frozen=True, slots=True)
 class RemoveHost:
-    """It is gone and holds nothing of ours: its link ends."""
+    """The host is gone and has none of this controller's launches: its link ends."""
 
     host: str
 
 
 @dataclass(frozen=True, slots=True)
 class OpenLink:
-    """Make the link now, to learn what the host holds."""
+    """Open the link now, to learn what the host holds."""
 
     host: str
 
 
 @dataclass(frozen=True, slots=True)
 class SendLaunch:
+    """Send a launch to its host. Times are seconds on the engine's clock."""
+
     host: str
     number: int
     job: Job
-    due: float  # when it is given up
-    boot: int  # of the host, as it was known when this was decided
-    persist: bool = False  # to be on disk before its first byte leaves
+    due: float  # when it is cancelled if there is no answer
+    boot: int  # of the host, as known when the launch was decided on
+    persist: bool = False  # to be on disk before its first byte is sent
     work: bytes = b""
-    send_by: float = float("inf")  # its first byte leaves before then, or it does not leave
+    send_by: float = float("inf")  # its first byte is sent before then, or not at all
 
 
 @dataclass(frozen=True, slots=True)
 class RecordNotRun:
-    """This launch is known not to have run."""
+    """Record that this launch is known not to have run."""
 
     launch: LaunchId
 
 
 @dataclass(frozen=True, slots=True)
 class DeleteRecord:
-    """Nothing is owed for the job and nobody will ask for it again."""
+    """Delete the job's record: no answer is owed, and nobody will ask for the job again."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class WithholdLaunch:
-    """Keep the launch back if its frame has not begun to leave; the link then tells `LaunchesUnsent`."""
+    """Do not send the launch if nothing of it has been written; the link then reports `LaunchesUnsent`."""
 
     host: str
     number: int
@@ -72,65 +76,73 @@
 
 @dataclass(frozen=True, slots=True)
 class SendStop:
+    """Tell the host to cancel or end a launch."""
+
     host: str
     launch: LaunchId
 
 
 @dataclass(frozen=True, slots=True)
 class SendEndSeen:
+    """Acknowledge the end of a launch; the host need not report it again."""
+
     host: str
     launch: LaunchId
 
 
 @dataclass(frozen=True, slots=True)
 class SendProbe:
+    """Ask the host for a report."""
+
     host: str
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class AcceptJob:
-    """The job is taken: from here it is owed one answer."""
+    """The job is accepted: from now on one answer is owed for it."""
 
     client: int
     key: str
     job: str
     session: str = ""
-    record: Job | None = None  # to be on disk before the client is told, where a session owns it
+    record: Job | None = None  # to be on disk before the client is notified, where a session owns the job
     expires_in: float = 0.0  # seconds, from its release or start time where there is one
     work: bytes = b""
     follow: bool = False
     held: bool = False
-    start_in: float = 0.0
-    guarantee: str = ""  # what its offering says of repeats
+    start_in: float = 0.0  # seconds
+    guarantee: str = ""  # the effect guarantee of its offering
 
 
 @dataclass(frozen=True, slots=True)
 class DeclineJob:
-    """It is not taken; nothing is owed."""
+    """The job is not accepted; no answer is owed."""
 
     client: int
     key: str
     reason: str
-    retry_after: float
+    retry_after: float  # seconds; 0: a retry would not help
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
+    """Send the job's answer to its client."""
+
     client: int
     key: str
     job: str
     verdict: Verdict
     host: str = ""
-    persist: bool = False  # to be on disk before the client is told
+    persist: bool = False  # to be on disk before the client is notified
     launch: LaunchId | None = None
     reason: str = ""
-    host_reply: str = ""  # what the host gave with its yes
+    host_reply: str = ""  # what the host sent with its acceptance
 
 
 @dataclass(frozen=True, slots=True)
 class Adopt:
-    """The job stands at the host already; what is heard of it there is of this launch."""
+    """The job runs at the host already; what is reported of it there belongs to this launch."""
 
     client: int
     key: str
@@ -142,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotifyEnded:
-    """What stood is over, which its owner is to hear."""
+    """Notify the owner that its running job has ended."""
 
     job: str
     host: str
@@ -152,7 +164,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordHold:
-    """Held by its owner, with `left` seconds to wait for a host once released; or released, with those."""
+    """Record that the job is held or released, with the seconds that remain to wait for a host after a
+    release.
+    """
 
     job: str
     held: bool
@@ -162,7 +176,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordProgress:
-    """How far a placed job is; `stage` is the name of a ledger.Stage."""
+    """Record the progress of a placed job; `stage` is the name of a ledger.Stage."""
 
     job: str
     stage: str
@@ -174,7 +188,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobStatus:
-    """For a client: how a job stands. Times are seconds ago, under 0 where that has not been."""
+    """Send a client the state of a job. Times are seconds ago, below 0 for what has not happened."""
 
     client: int
     key: str
@@ -192,13 +206,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusPageEnd:
+    """The requested page of job states is complete; `more`: the session has further jobs."""
+
     client: int
     more: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """To an order, or to a question for a job that is not there (kind None)."""
+    """Reply to an order, or to a status request for an unknown job (`kind` is None)."""
 
     client: int
     key: str
@@ -209,12 +225,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Ask discovery to be told of changes."""
+    """Ask discovery to report changes of the list of hosts."""
 
 
 @dataclass(frozen=True, slots=True)
 class LogMessage:
-    """One line for the log: `event` is a fixed phrase, `fields` its keys."""
+    """One log line: `event` is a fixed phrase, `fields` its keys and values."""
 
     level: str
     event: str
@@ -223,6 +239,6 @@
 
 @dataclass(frozen=True, slots=True)
 class Halt:
-    """This life must end: nothing it sends would count any more."""
+    """This incarnation must end: hosts accept nothing from it any more."""
 
     reason: str
--- a/linedeal/engine/events.py
+++ b/linedeal/engine/events.py
@@ -1,5 +1,7 @@
-"""What the engine is told. Each comes from one link, from discovery or from a client; times are not in them, the
-engine is told the time of each turn."""
+"""Events: what the engine is notified of, by a link to a host, by discovery or by a client.
+
+Events carry no times: the engine is passed the time of each step.
+"""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -9,7 +11,7 @@
 
 
 class LaunchId(NamedTuple):
-    """One launch of one controller over all its lives."""
+    """Identifies one launch of a controller across all its incarnations."""
 
     life: int
     number: int
@@ -26,13 +28,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedHost:
+    """One host of a list."""
+
     id: str
     addresses: tuple[str, ...]
     kind: str
     zone: str
     cell: int
     mode: Mode
-    boot: int  # another number after each start of the host
+    boot: int  # changes with each start of the host
     age: float  # seconds since that start, when the list was sent
     free_cores: float | None
     free_memory: float | None
@@ -40,7 +44,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Ran:
-    """How a run ended, by its host: exit status (None: it did not exit by itself), seconds, memory at most."""
+    """How a run ended, as its host reports it: exit status (None: it did not exit by itself), usage, peak
+    memory.
+    """
 
     status: int | None
     seconds: float
@@ -50,21 +56,23 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldLaunch:
-    """What a host says of a launch when a link is made."""
+    """One launch in the inventory that a host sends when a link is opened."""
 
     launch: LaunchId
     job: Job
     phase: Phase
     result: Result = Result.DONE
-    why: Reason = Reason.UNTOLD
+    reason: Reason = Reason.UNTOLD
     ran: Ran | None = None
 
 
-# from discovery
+# From discovery
 
 
 @dataclass(frozen=True, slots=True)
 class HostListReceived:
+    """A list of hosts: all (`whole`) or changed ones; `remembered`: stored by an earlier incarnation."""
+
     hosts: tuple[ListedHost, ...]
     whole: bool
     version: int
@@ -73,14 +81,18 @@
 
 @dataclass(frozen=True, slots=True)
 class HostListFailed:
+    """Discovery cannot be reached, or its reply was unusable."""
+
     reason: str
 
 
-# from clients; `client` is the number of a link
+# From clients; `client` is the number of a link
 
 
 @dataclass(frozen=True, slots=True)
 class Submitted:
+    """A client submits a job."""
+
     client: int
     key: str
     offering: str
@@ -91,14 +103,16 @@
     wait: float  # seconds; 0: as long as the offering allows
     session: str = ""  # where not empty, the job belongs to it and not to the link
     proven: str = ""  # the customer whose key this link has shown
-    work: bytes = b""  # for the host, carried as it is
-    follow: bool = False  # its owner wants to hear of its course after the answer
+    work: bytes = b""  # for the host, passed on unchanged
+    follow: bool = False  # its owner wants to be notified of its progress after the answer
     hold: bool = False
-    start_in: float = 0.0  # seconds for which it is not looked at
+    start_in: float = 0.0  # seconds before which it is not launched
 
 
 @dataclass(frozen=True, slots=True)
 class JobWithdrawn:
+    """A client withdraws its job."""
+
     client: int
     key: str
     session: str = ""
@@ -106,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunningJobHandedOver:
-    """The owner says that this job stands at that host already, and is this controller's from now on."""
+    """An owner reports a job that runs at a host already; it is this controller's from now on."""
 
     client: int
     key: str
@@ -121,14 +135,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """The owner ends a job that stands; its host says when it has ended."""
+    """An owner ends a running job; its host reports when it has ended."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerSeen:
-    """The session has its answer: it need not be kept any more."""
+    """The session has received its answer: it need not be stored any longer."""
 
     session: str
     key: str
@@ -146,7 +160,9 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusRequested:
-    """How one job stands, or, with no key, all of the session's after key `after`."""
+    """A client asks for the state of one job or, without a key, of the session's jobs that follow key
+    `after`.
+    """
 
     client: int
     session: str
@@ -156,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetRequested:
-    """The owner wants to hear of this job no more; one that is owed an answer or runs is kept."""
+    """An owner is done with a job. It is kept while an answer is owed or it runs."""
 
     session: str
     key: str
@@ -164,15 +180,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientDisconnected:
+    """The link to a client has ended."""
+
     client: int
 
 
-# from the link to a host
+# From the link to a host
 
 
 @dataclass(frozen=True, slots=True)
 class LaunchesSent:
-    """Frames of these launches are about to be written: from here on they may reach the host."""
+    """Frames of these launches are about to be written: from now on they may reach the host."""
 
     host: str
     link: int
@@ -181,7 +199,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchesUnsent:
-    """Launches that the link kept back: they were called off in time, or too many waited."""
+    """The link did not send these launches: they were cancelled in time, or too many were waiting."""
 
     host: str
     numbers: tuple[int, ...]
@@ -189,7 +207,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchesCancelled:
-    """The words that give these launches up have been written, or what they left on is closed: none is out any more."""
+    """The cancellation of these launches has been written, or their connection is closed: none is out any
+    more.
+    """
 
     host: str
     numbers: tuple[int, ...]
@@ -197,6 +217,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkUp:
+    """A link to a host is up. `held` is the host's inventory; `forgot`: the host may have dropped entries of
+    it.
+    """
+
     host: str
     link: int
     boot: int
@@ -207,7 +231,9 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkDown:
-    """The link has ended, or was never made (link 0); `unsent` launches never began to leave."""
+    """The link has ended, or was never established (link 0); nothing of the `unsent` launches has been
+    written.
+    """
 
     host: str
     link: int
@@ -217,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """A host has met a later life of this controller."""
+    """A host has seen a later incarnation of this controller."""
 
     host: str
     reason: str
@@ -225,8 +251,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """`host_reply`: what the host gave with its yes, for the owner, carried as it is. `cancel_withdrawn`: it came before the word that
-    gives the launch up, which the link has taken back."""
+    """A host accepts a launch.
+
+    `host_reply`: what the host sent with its acceptance, passed on unchanged to the owner.
+    `cancel_withdrawn`: the acceptance arrived before the cancellation was written, and the link has withdrawn
+    the cancellation.
+    """
 
     host: str
     launch: LaunchId
@@ -236,20 +266,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
+    """A host refuses a launch, or returns one that it has not started."""
+
     host: str
     launch: LaunchId
-    why: Reason
+    reason: Reason
     detail: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Started:
+    """A launch runs."""
+
     host: str
     launch: LaunchId
 
 
 @dataclass(frozen=True, slots=True)
 class UsageReported:
+    """Cores and memory that a running job uses."""
+
     host: str
     launch: LaunchId
     cores: float
@@ -258,7 +294,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceReported:
-    """Figures under 0 were not told."""
+    """The share of its requests that a running job served, and its host's memory; below 0: not reported."""
 
     host: str
     launch: LaunchId
@@ -268,32 +304,36 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchEnded:
+    """A launch has ended."""
+
     host: str
     launch: LaunchId
     result: Result
-    why: Reason
+    reason: Reason
     ran: Ran | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class MetricReported:
-    """One figure of a job that stands: `what` as in the interface's `MetricReported`."""
+    """One metric of a running job: `metric` as in the interface's `MetricReported`."""
 
     host: str
     launch: LaunchId
-    what: str
+    metric: str
     value: float
 
 
 @dataclass(frozen=True, slots=True)
 class HostLost:
-    """It has died, or has been out of reach for so long that what stood there counts as lost."""
+    """The host has died, or has been unreachable for so long that its running jobs count as lost."""
 
     host: str
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeReported:
+    """A host's reply to a probe."""
+
     host: str
     number: int
     figures: dict[str, float] = field(default_factory=dict)
--- a/linedeal/engine/fleet.py
+++ b/linedeal/engine/fleet.py
@@ -1,4 +1,4 @@
-"""What the engine itself keeps of each host: its link, its boot, and the launches there."""
+"""What the engine keeps of each host: its list entry, its link, its boot, and the launches there."""
 
 from dataclasses import dataclass, field, replace
 
@@ -9,12 +9,14 @@
 
 @dataclass(slots=True, eq=False)
 class HostRecord:
+    """One host that a list has named."""
+
     listed: ListedHost
-    booted: float  # on this controller's clock, as first reckoned for this boot
-    asked: bool = False  # it has told, in this life, what it holds
-    tries: int = 0  # links that failed or broke since one stood
-    link: int = 0  # of the link that stands; 0: none
-    boot: int = 0  # of the host at its other end
+    booted: float  # on this controller's clock, as first computed for this boot
+    inventory_received: bool = False  # it has reported, to this incarnation, what it holds
+    attempts: int = 0  # links that failed or broke since the last that was up
+    link: int = 0  # number of the link that is up; 0: none
+    boot: int = 0  # of the host at the other end of that link
     launches: dict[LaunchId, Launch] = field(default_factory=dict)
 
 
@@ -22,23 +24,27 @@
     """The hosts that a list has named, by id."""
 
     def __init__(self):
+        """Starts with no host known."""
         self.hosts: dict[str, HostRecord] = {}
-        self.gone: set[str] = (
-            set()
-        )  # of them; looked at in each turn, where all would cost more than the turn
+        # ids of those that are gone: checked in each step, where a search through all hosts would cost more
+        # than the step
+        self.gone: set[str] = set()
 
-    def hear(self, now: float, listed: ListedHost) -> HostEntry:
-        """Takes one entry of a list; returns it as the module wants it.
+    def update(self, now: float, listed: ListedHost) -> HostEntry:
+        """Applies one entry of a list; returns it as the decision module wants it.
 
-        Lists tell an age, which is put on this clock once for each boot: reckoned anew from every list it would
-        wander by the list's delay, and a start that wanders forward reads as another start.
+        Lists state a host's age, which is converted to this controller's clock once for each boot. Computed
+        from every list, the start would drift by the list's delay, and one that drifts forward reads as
+        another start.
         """
         record = self.hosts.get(listed.id)
         if record is None:
             record = self.hosts[listed.id] = HostRecord(listed, now - listed.age)
         elif listed.boot > record.listed.boot:
             record.booted = max(now - listed.age, record.booted)
-        elif listed.boot < record.listed.boot:  # an old line that overtook a newer one tells nothing of boots
+        elif (
+            listed.boot < record.listed.boot
+        ):  # an old entry that arrived after a newer one says nothing of boots
             listed = replace(listed, boot=record.listed.boot, age=record.listed.age)
         record.listed = listed
         (self.gone.add if listed.mode is Mode.GONE else self.gone.discard)(listed.id)
@@ -53,18 +59,19 @@
             listed.free_memory,
         )
 
-    def missing(self, named: set[str]) -> list[HostRecord]:
-        """Those that a whole list no longer names, marked as gone."""
-        gone = [record for record in self.hosts.values() if record.listed.id not in named]
-        for record in gone:
+    def mark_missing(self, named: set[str]) -> list[HostRecord]:
+        """Marks the hosts that a whole list no longer names as gone; returns them."""
+        missing = [record for record in self.hosts.values() if record.listed.id not in named]
+        for record in missing:
             record.listed = replace(record.listed, mode=Mode.GONE)
             self.gone.add(record.listed.id)
-        return gone
+        return missing
 
-    def to_drop(self) -> list[str]:
-        """Gone, and nothing of ours is there any more."""
+    def removable(self) -> list[str]:
+        """Hosts that are gone and have none of this controller's launches any more."""
         return sorted(host for host in self.gone if not self.hosts[host].launches)
 
-    def drop(self, host: str) -> None:
+    def remove(self, host: str) -> None:
+        """Forgets a host."""
         del self.hosts[host]
         self.gone.discard(host)
--- a/linedeal/engine/launches.py
+++ b/linedeal/engine/launches.py
@@ -1,6 +1,7 @@
-"""Launches that are out, and what is known of them when a link breaks and comes back.
+"""Launches that are out, and what a broken and a new link show about them.
 
-The one place that says which course of events proves that a launch did not run; docs/protocol.md has the table.
+This is the only module that states which sequence of events proves that a launch did not run;
+docs/protocol.md has the table.
 """
 
 from dataclasses import dataclass
@@ -11,6 +12,8 @@
 
 
 class State(Enum):
+    """The state of a launch as the engine knows it."""
+
     OUT = "sent, no yes yet"
     HELD = "the host has said yes"
     RECALLED = "to be given up at its host, which has not been written yet"
@@ -19,39 +22,41 @@
 
 @dataclass(slots=True, eq=False)
 class Launch:
+    """One launch of a job at a host. Times are seconds on the engine's clock."""
+
     id: LaunchId
     job: Job
     effect: Effect
     host: str
-    due: float  # when it is given up without an answer
+    due: float  # when it is cancelled if there is no answer
     state: State = State.OUT
-    left: int = 0  # the link on which its frame left; 0: it has not
+    sent_on: int = 0  # number of the link on which its frame was sent; 0: not sent
     boot: int = 0  # of the host at the other end of that link
-    wanted: bool = True  # False once its client has taken the job back
+    wanted: bool = True  # False once its client has withdrawn the job
     started: bool = False
-    kept: bool = False  # it is in the journal
-    unsend: bool = False  # the link was asked to keep it back
-    sent: float = 0.0  # when it was decided on
-    ran: Ran | None = None  # what its host said at its end
-    provable: bool = True  # its host will give an account of what it holds
-    host_reply: str = ""  # what its host gave with its yes
+    persisted: bool = False  # it is in the journal
+    withheld: bool = False  # the link was asked not to send it
+    decided_at: float = 0.0
+    ran: Ran | None = None  # what its host reported at its end
+    provable: bool = True  # its host sends an inventory of what it holds
+    host_reply: str = ""  # what its host sent with its acceptance
 
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """What a new link shows of a launch: how far it is, or how it ended."""
+    """What a new link shows of a launch: its phase, or how it ended."""
 
     phase: Phase
     result: Result = Result.DONE
-    why: Reason = Reason.UNTOLD
+    reason: Reason = Reason.UNTOLD
 
 
 def result_of_lost_link(launch: Launch) -> Result | None:
-    """The link broke after the frame began to leave. None: it is worth waiting for what a new link shows.
+    """The result of a launch whose link broke after sending began. None: wait for what a new link shows.
 
-    A job that is held runs on without the link. An irreversible one could only be written off; until its time is
-    up the host may return and prove that it never ran, where hosts give accounts of what they hold (`provable`). Any
-    other is launched again at once, which is harmless.
+    An accepted job runs on without the link. An irreversible job could only be written off; until its time is
+    up, the host may return and prove that it never ran, if hosts send inventories (`provable`). Any other job
+    is launched again at once, which does no harm.
     """
     if launch.state is State.RECALLED:
         return Result.SILENT
@@ -60,15 +65,16 @@
     return Result.CUT
 
 
-def found(launch: Launch, held: HeldLaunch | None, boot: int, forgot: bool) -> Finding | None:
-    """What a host's own account says of a launch that left on an earlier link; None: nothing new.
+def reconcile(launch: Launch, held: HeldLaunch | None, boot: int, forgot: bool) -> Finding | None:
+    """What a host's inventory shows of a launch that was sent on an earlier link.
 
-    The host took the new link's number before it gave the account, and takes nothing that earlier links still
-    bring. So what it does not name, it does not hold and will never hold. With the same boot and nothing forgotten
-    it never held it either: the launch did not run. With another boot it may have run before the host ended.
+    The host recorded the new link's number before it sent the inventory, and ignores whatever earlier links
+    still deliver. So a launch that is not in the inventory is not held and never will be. With the same boot
+    and nothing forgotten it never was: the launch did not run. With another boot it may have run before the
+    host ended.
     """
     if held is not None:
-        return Finding(held.phase, held.result, held.why)
+        return Finding(held.phase, held.result, held.reason)
     if boot != launch.boot:
         return Finding(Phase.OVER, Result.CUT)
     if launch.state is State.HELD or forgot:
@@ -76,10 +82,10 @@
     return Finding(Phase.OVER, Result.UNREACHABLE)
 
 
-def late_yes_is_kept(launch: Launch) -> bool:
-    """Whether a launch that was given up and is running after all goes on.
+def keeps_late_acceptance(launch: Launch) -> bool:
+    """Whether a launch that was cancelled and turns out to run is left running.
 
-    One that may run again is stopped, since another may run in its place. An irreversible job was written off:
-    its one course is the only one there will ever be, so it is left alone and counted where it is.
+    A job that may run again is stopped, since it may run elsewhere by now. An irreversible job was written
+    off and will never run elsewhere, so it is left alone and counted at its host.
     """
     return launch.effect is Effect.IRREVERSIBLE and launch.wanted
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,10 +1,9 @@
-"""The engine by itself: what late, doubled, unknown and broken-off answers come to."""
+"""The engine alone: late, duplicate, unknown and missing answers, broken links and stalls."""
 
 import pytest
 
 from linedeal import interface as api
-from linedeal.engine import effects
-from linedeal.engine import events
+from linedeal.engine import effects, events
 from linedeal.engine.engine import InvariantError
 from linedeal.interface import Reason, Result
 from tests.engine_driver import OWN_LIFE, EngineDriver
@@ -14,7 +13,7 @@
     return events.HeldLaunch(events.LaunchId(life, sent.number), sent.job, phase)
 
 
-def test_a_job_is_taken_launched_and_answered_once():
+def test_a_job_is_accepted_launched_and_answered_once():
     d = EngineDriver()
     emitted = d.submit(1.0)
     assert [type(e) for e in emitted] == [effects.AcceptJob, effects.SendProbe, effects.SendLaunch]
@@ -25,16 +24,15 @@
     assert d.engine.unanswered == {}
 
 
-def test_a_yes_after_the_time_out_is_no_answer_and_stops_the_copy():
-    # guards against a late yes that is believed: the job is launched elsewhere by then
+def test_an_acceptance_after_the_timeout_is_no_answer_and_stops_the_launch():
+    # guards against counting a late acceptance as the answer: the job has been launched elsewhere by then
     d = EngineDriver()
     first = d.launch(1.0)
     emitted = d.advance(1.6)
     second = d.of_type(effects.SendLaunch, emitted)[0]
     assert second.host != first.host
-    assert (
-        effects.SendStop(first.host, events.LaunchId(OWN_LIFE, first.number)) in emitted
-    )  # called off as it is given up
+    # its host is told of the cancellation
+    assert effects.SendStop(first.host, events.LaunchId(OWN_LIFE, first.number)) in emitted
     d.step(1.6, events.LaunchesSent(second.host, 1, (second.number,)))
     late = d.host_reply(events.Accepted, first, 1.7)
     assert d.verdicts(late) == []
@@ -42,8 +40,8 @@
     assert d.verdicts(d.host_reply(events.Accepted, second, 1.8)) == ["placed"]
 
 
-def test_a_late_yes_of_an_irreversible_job_is_left_to_run_and_counted_on_its_host():
-    # guards against stopping halfway what was written off and is the job's one course
+def test_an_irreversible_job_accepted_late_is_left_running_and_counted_on_its_host():
+    # guards against stopping the only run of a job that was written off
     d = EngineDriver()
     sent = d.launch(1.0, "feed")
     assert d.verdicts(d.advance(7.5)) == ["written off"]
@@ -67,7 +65,7 @@
     assert d.verdicts(d.host_reply(events.Accepted, sent, 1.2)) == ["placed"]
 
 
-def test_a_refusal_after_the_yes_is_not_believed():
+def test_a_refusal_after_the_acceptance_is_ignored():
     d = EngineDriver()
     sent = d.launch(1.0)
     d.host_reply(events.Accepted, sent, 1.1)
@@ -75,14 +73,14 @@
     assert sent.job.id in d.engine.by_job
 
 
-def test_a_frame_that_never_left_did_not_run():
+def test_a_launch_that_was_never_sent_did_not_run():
     d = EngineDriver()
     sent = d.launch(1.0, "feed", leave=False)
     again = d.of_type(effects.SendLaunch, d.link_down(sent.host, 1.1, unsent=(sent.number,)))
-    assert [launch.host != sent.host for launch in again] == [True]  # irreversible, and yet launched again
+    assert [launch.host != sent.host for launch in again] == [True]  # launched again although irreversible
 
 
-def test_a_redoable_job_is_launched_again_as_its_link_breaks():
+def test_a_redoable_job_is_launched_again_when_its_link_breaks():
     d = EngineDriver()
     sent = d.launch(1.0)
     again = d.of_type(effects.SendLaunch, d.link_down(sent.host, 1.1))
@@ -90,7 +88,7 @@
 
 
 def test_a_probe_is_lost_with_its_link():
-    # guards against one break told as two silences, which doubles the host's mark
+    # guards against counting one broken link as two failures, which doubles the host's backoff
     d = EngineDriver("a")
     d.submit(1.0)
     assert list(d.engine.probes.values()) == ["a"]
@@ -98,25 +96,25 @@
     assert not d.engine.probes
 
 
-def test_an_old_line_of_the_list_makes_no_host_younger_or_older():
-    # guards against a list that is late: it would take a young host for a warm one
+def test_an_outdated_list_entry_does_not_change_a_hosts_age():
+    # guards against a late list that makes a host in slow start count as warmed up
     d = EngineDriver("a")
     d.list_hosts("a", 1.0, boot=5, age=0.5)
     d.list_hosts("a", 1.2, boot=1, age=500.0)
     assert d.engine.fleet.hosts["a"].listed.boot == 5
-    d.list_hosts("a", 1.4, boot=5, age=3.0)  # the same boot, reckoned from a late line
+    d.list_hosts("a", 1.4, boot=5, age=3.0)  # the same boot, computed from a late entry
     assert d.engine.module.hosts["a"].entry.booted == 0.5
 
 
 def test_an_irreversible_job_waits_for_proof_when_its_link_breaks():
-    # guards against a launch written to a socket buffer as the link breaks: nobody knows, so nothing is sent
+    # guards against repeating a launch that was in a socket buffer as the link broke and may have arrived
     d = EngineDriver()
     sent = d.launch(1.0, "feed")
     assert not d.of_type(effects.SendLaunch, d.link_down(sent.host, 1.1))
     assert not d.of_type(effects.Answer, d.advance(2.0))
 
 
-def test_the_same_boot_that_does_not_hold_a_launch_proves_that_it_never_ran():
+def test_an_inventory_of_the_same_boot_without_a_launch_proves_that_it_never_ran():
     d = EngineDriver()
     sent = d.launch(1.0, "feed")
     d.link_down(sent.host, 1.1)
@@ -127,7 +125,7 @@
 
 @pytest.mark.parametrize("boot, forgot", [(2, False), (1, True)])
 def test_another_boot_or_a_host_that_forgot_proves_nothing(boot, forgot):
-    # guards against the same host back at the same address within the time-out: it may have run before it died
+    # guards against a host that restarts at the same address within the timeout: the job may have run before
     d = EngineDriver()
     sent = d.launch(1.0, "feed")
     d.link_down(sent.host, 1.1)
@@ -136,15 +134,15 @@
     assert not d.of_type(effects.SendLaunch, emitted)
 
 
-def test_a_launch_that_the_host_still_holds_counts_as_its_yes():
+def test_a_launch_in_the_inventory_counts_as_accepted():
     d = EngineDriver()
     sent = d.launch(1.0, "feed")
     d.link_down(sent.host, 1.1)
     assert d.verdicts(d.link_up(sent.host, 1, 1.3, [held_by(sent)])) == ["placed"]
 
 
-def test_a_launch_given_after_the_hello_is_not_judged_by_the_welcome():
-    # guards against a launch that was queued while the link was being made: the host could not know it
+def test_a_launch_queued_while_the_link_opens_is_not_judged_by_the_inventory():
+    # guards against treating such a launch as missing: the host cannot have known it
     d = EngineDriver()
     d.link_down("a", 0.5)
     d.link_down("b", 0.5)
@@ -153,7 +151,7 @@
     assert d.engine.launches[events.LaunchId(OWN_LIFE, sent.number)].job is sent.job
 
 
-def test_jobs_of_an_earlier_life_are_found_and_their_ends_seen():
+def test_jobs_of_an_earlier_incarnation_are_found_and_their_ends_acknowledged():
     d = EngineDriver()
     job = api.Job("c.2.9", "web", "", "s", 1.0, 1.0, 0.0)
     old, over = events.LaunchId(2, 9), events.LaunchId(2, 8)
@@ -174,7 +172,7 @@
     assert "c.2.9" not in d.engine.module.tracked_jobs
 
 
-def test_a_job_that_is_held_is_lost_with_its_boot():
+def test_a_placed_job_is_lost_when_its_host_restarts():
     d = EngineDriver()
     sent = d.launch(1.0)
     d.host_reply(events.Accepted, sent, 1.1)
@@ -184,8 +182,8 @@
     assert sent.job.id not in d.engine.module.tracked_jobs
 
 
-def test_a_welcome_tells_of_a_start_before_the_list_does():
-    # guards against pushing over a host that came back between two lists: the fourth rule counts from its boot
+def test_a_new_link_reports_a_host_start_before_the_list_does():
+    # guards against overloading a host that restarted between two lists: rule 4 counts from its boot
     d = EngineDriver("a")
     d.link_down("a", 1.0)
     d.link_up("a", 2, 4.0, age=0.5)
@@ -193,25 +191,25 @@
     assert 0 < sum(map(len, sent)) < 4
 
 
-def test_a_controller_that_stood_still_reads_before_it_gives_up():
-    # guards against a stop of five seconds: answers lie unread beside time-outs that are long due
+def test_a_controller_that_stalled_reads_before_it_cancels():
+    # guards against a stall of some seconds: answers lie unread while their timeouts are overdue
     d = EngineDriver()
     sent = d.launch(1.0, "feed")
-    emitted = d.step_without_timers(6.99)  # woken late: the time-out is due, the yes not read yet
+    emitted = d.step_without_timers(6.99)  # late: the timeout is due, the acceptance not read yet
     assert not d.of_type(effects.Answer, emitted)
-    assert [note.event for note in d.of_type(effects.LogMessage, emitted)] == ["stood still"]
+    assert [message.event for message in d.of_type(effects.LogMessage, emitted)] == ["stood still"]
     assert d.verdicts(d.host_reply(events.Accepted, sent, 7.0)) == ["placed"]
 
 
-def test_a_controller_that_stood_still_answers_all_the_same():
-    # guards against putting the time-outs off for ever
+def test_a_controller_that_stalled_still_answers():
+    # guards against postponing the timeouts again and again
     d = EngineDriver()
     d.launch(1.0, "feed")
     d.step_without_timers(9.0)
     assert d.verdicts(d.advance(9.1)) == ["written off"]
 
 
-def test_a_client_that_leaves_takes_its_jobs_back_while_a_launch_is_out():
+def test_a_client_that_disconnects_withdraws_its_jobs_while_a_launch_is_out():
     d = EngineDriver()
     sent = d.launch(1.0)
     emitted = d.step(1.1, events.ClientDisconnected(1))
@@ -225,8 +223,8 @@
     assert not d.engine.launches and not d.engine.module.tracked_jobs
 
 
-def test_a_launch_that_waits_for_its_link_is_kept_back_at_its_time_out():
-    # guards against an offer that leaves after it was given up
+def test_a_launch_that_waits_for_its_link_is_withheld_at_its_timeout():
+    # guards against sending a launch after its cancellation
     d = EngineDriver()
     sent = d.launch(1.0, leave=False)
     emitted = d.advance(1.52)
@@ -234,20 +232,20 @@
     assert d.of_type(effects.SendLaunch, d.step(1.53, events.LaunchesUnsent(sent.host, (sent.number,))))
 
 
-def test_over_the_bound_jobs_are_turned_away_before_they_are_taken():
+def test_jobs_beyond_the_limit_are_declined():
     d = EngineDriver()
-    d.list_hosts("ab", 0.1, mode=api.Mode.DRAINING)  # all wait
+    d.list_hosts("ab", 0.1, mode=api.Mode.DRAINING)  # so that all jobs wait
     emitted = [d.submit(1.0, key=f"k{i}") for i in range(6)]
-    turned = d.of_type(effects.DeclineJob, emitted[5])
-    assert len(turned) == 1 and turned[0].retry_after > 0 and not d.of_type(effects.AcceptJob, emitted[5])
-    assert all(d.of_type(effects.AcceptJob, some) for some in emitted[:5])
+    declined = d.of_type(effects.DeclineJob, emitted[5])
+    assert len(declined) == 1 and declined[0].retry_after > 0 and not d.of_type(effects.AcceptJob, emitted[5])
+    assert all(d.of_type(effects.AcceptJob, of_job) for of_job in emitted[:5])
 
 
 @pytest.mark.parametrize(
     "field, value",
     [("offering", "none"), ("cores", float("nan")), ("wait", float("inf")), ("memory", 0.0), ("cores", -1.0)],
 )
-def test_what_cannot_be_placed_is_turned_away(field, value):
+def test_a_job_that_cannot_be_placed_is_declined(field, value):
     d = EngineDriver()
     fields = dict(
         client=1, key="k", offering="web", customer="", service="s", cores=1.0, memory=1.0, wait=0.0
@@ -256,13 +254,13 @@
     assert [type(effect) for effect in emitted] == [effects.DeclineJob]
 
 
-def test_a_key_that_waits_is_not_taken_twice():
+def test_a_key_in_use_is_declined():
     d = EngineDriver()
     d.launch(1.0, key="same")
     assert d.of_type(effects.DeclineJob, d.submit(1.1, key="same"))
 
 
-def test_the_engine_ends_rather_than_break_its_promise():
+def test_the_engine_raises_rather_than_break_a_rule():
     d = EngineDriver()
     sent = d.launch(1.0)
     with pytest.raises(InvariantError):
@@ -272,14 +270,14 @@
         d.engine.answer(sent.job.id, effects.Verdict.REJECTED)
 
 
-def test_after_a_start_hosts_are_asked_at_a_pace():
+def test_after_a_start_links_are_opened_at_a_limited_rate():
     d = EngineDriver("")
-    asked = d.of_type(effects.OpenLink, d.list_hosts([f"h{i}" for i in range(60)], 1.0))
-    assert len(asked) <= 20
-    assert len(asked) + len(d.of_type(effects.OpenLink, d.advance(4.2))) == 60
+    opened = d.of_type(effects.OpenLink, d.list_hosts([f"h{i}" for i in range(60)], 1.0))
+    assert len(opened) <= 20
+    assert len(opened) + len(d.of_type(effects.OpenLink, d.advance(4.2))) == 60
 
 
-def test_a_gone_host_is_dropped_once_nothing_of_ours_is_there():
+def test_a_gone_host_is_removed_once_it_has_no_launches():
     d = EngineDriver()
     sent = d.launch(1.0)
     d.host_reply(events.Accepted, sent, 1.1)
@@ -288,22 +286,22 @@
     assert effects.RemoveHost(sent.host) in emitted and not d.engine.launches
 
 
-def test_a_fenced_life_halts():
+def test_a_fenced_incarnation_halts():
     d = EngineDriver()
     assert d.of_type(effects.Halt, d.step(1.0, events.Fenced("a", "life 9 is known")))
 
 
-def erred(d, sent, now):
+def launches_after_error(d, sent, now):
     return d.of_type(
         effects.SendLaunch, d.host_reply(events.LaunchEnded, sent, now, Result.ERROR, Reason.UNTOLD)
     )
 
 
-def test_a_job_that_errs_on_two_hosts_is_at_fault_itself():
-    # guards against bad work that marks host after host for its customer's sound jobs
+def test_a_job_that_fails_on_two_hosts_ejects_neither():
+    # guards against a faulty job that takes host after host from its customer's sound jobs
     d = EngineDriver("abc")
     first = d.launch(1.0)
-    (second,) = erred(d, first, 1.1)
+    (second,) = launches_after_error(d, first, 1.1)
     assert second.host != first.host
     d.step(1.1, events.LaunchesSent(second.host, 1, (second.number,)))
     emitted = d.host_reply(events.LaunchEnded, second, 1.2, Result.ERROR, Reason.UNTOLD)
@@ -311,10 +309,10 @@
     assert not any(host.ejections for host in d.engine.module.hosts.values())
 
 
-def test_a_host_is_marked_once_its_error_is_seen_to_be_its_own():
+def test_a_host_is_ejected_once_its_job_runs_elsewhere():
     d = EngineDriver("ab")
     first = d.launch(1.0)
-    (second,) = erred(d, first, 1.1)
+    (second,) = launches_after_error(d, first, 1.1)
     d.step(1.1, events.LaunchesSent(second.host, 1, (second.number,)))
     assert not d.engine.module.hosts[first.host].ejections
     d.host_reply(events.Accepted, second, 1.2)
@@ -322,7 +320,7 @@
     assert {d.launch(1.3, key=f"k{number}").host for number in range(3)} == {second.host}
 
 
-def test_an_irreversible_job_marks_its_host_at_once():
+def test_a_failed_irreversible_job_ejects_its_host_at_once():
     d = EngineDriver("ab")
     sent = d.launch(1.0, "feed")
     assert d.verdicts(d.host_reply(events.LaunchEnded, sent, 1.1, Result.ERROR, Reason.UNTOLD)) == [
