--- a/linedeal/engine/engine.py
+++ b/linedeal/engine/engine.py
@@ -179,7 +179,7 @@
                 and kind in ("launch", "probe")
                 and not (kind == "launch" and self.answer_is_due(key))
             ):
-                self.timers.arm(self.now + READ_GRACE, kind + " after stall", key)
+                self.timers.arm(self.now + READ_GRACE, kind + " after grace", key)
             else:
                 TIMER_HANDLERS[kind](self, key)
 
@@ -445,7 +445,7 @@
             if self.answer_is_due(launch_id):  # no byte of it was sent before this step, and none will be
                 self.finish_unsent((launch_id.number,), Result.UNSENT)
             else:
-                self.timers.arm(self.now + READ_GRACE, "launch after stall", launch_id)
+                self.timers.arm(self.now + READ_GRACE, "launch after grace", launch_id)
             return
         if not self.hosts_send_inventory:
             self.cancel_at_host(launch)
@@ -1051,8 +1051,8 @@
     "orphan": Engine.forget_orphan,
     "recalled": Engine.finish_cancellation,
     "probe": Engine.handle_probe_timeout,
-    "launch after stall": Engine.handle_launch_timeout,
-    "probe after stall": Engine.handle_probe_timeout,
+    "launch after grace": Engine.handle_launch_timeout,
+    "probe after grace": Engine.handle_probe_timeout,
     "connect": Engine.wake_for_connects,
     "reconnect": Engine.reconnect,
     "requeue": Engine.requeue_jobs,
--- a/linedeal/engine/events.py
+++ b/linedeal/engine/events.py
@@ -217,8 +217,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkUp:
-    """A link to a host is up. `held` is the host's inventory; `forgot`: the host may have dropped entries of
-    it.
+    """A link to a host is up.
+
+    `held` is the host's inventory. `forgot`: the host has dropped ends of launches that were not
+    acknowledged, so a launch that is missing from the inventory may still have run.
     """
 
     host: str
