--- a/linedeal/council/__init__.py
+++ b/linedeal/council/__init__.py
@@ -1,6 +1,8 @@
-"""A few controllers that keep a small replicated store together: one register a key, free of I/O and clock.
+"""The council: a small replicated key-value store kept by a few controllers, one consensus register per key.
 
-`records` has what is kept and said, `slots` what a member may vote, `rounds` one proposal's course, `moves` how
-members are replaced, `witness` how an older copy of a member's disk is found out, and `member` puts them together.
-docs/council.md weighs the options and says what is proven how.
+The package does no I/O and reads no clock. `records` defines the data that is stored and the packets, `slots`
+holds the acceptor's rules and the register's state transition, `rounds` is the proposer's side of one
+request, `reconfiguration` replaces members, `staleness` detects a replica that was restored from an older
+copy of its directory, and `member` combines them. docs/council.md compares the alternatives and lists how
+each property is verified.
 """
--- a/linedeal/council/records.py
+++ b/linedeal/council/records.py
@@ -1,25 +1,28 @@
-"""What the council keeps and what its members say to each other.
+"""The data that council members store and the packets that they exchange.
 
-Terms as in Lamport's "Paxos made simple" and Rystsov's "CASPaxos: Replicated State Machines without logs": ballot,
-promise, accept, quorum. An epoch is the time of one roster.
+Terms follow Lamport's "Paxos made simple" and Rystsov's "CASPaxos: Replicated State Machines without logs":
+ballot, promise, accept, quorum. An epoch is the period during which one roster of members is in force.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 
-RECENT = 32  # versions of a register whose change is remembered by its id
-MOST_KEYS = 64  # registers a council holds; all of them together fit into one frame
-MOST_BODY = 8192  # bytes of one register's value
-ROSTER_KEY = "council/roster"  # the register that says which roster comes next
+MAX_REMEMBERED_CHANGES = 32  # most recent changes of a register that can be recognized by their id
+MAX_KEYS = 64  # registers in a council; all of them together fit into one frame
+MAX_BODY_BYTES = 8192  # of one register's value
+ROSTER_KEY = "council/roster"  # the register that holds the next roster
 
 
 class InvalidRequestError(Exception):
-    """One plain line: what was asked of the council cannot be."""
+    """A request that the council can never carry out; the message is one plain line."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Ballot:
-    """Ordered by epoch first. `start` is drawn anew at each start of a process, so no two proposals share a ballot."""
+    """A proposal number, ordered by epoch first.
+
+    `start` is drawn at random at each start of a process, so no two proposals share a ballot.
+    """
 
     epoch: int = 0
     round: int = 0
@@ -27,36 +30,39 @@
     start: int = 0
 
 
-ZERO = Ballot()
+ZERO_BALLOT = Ballot()
 
 
 @dataclass(frozen=True, slots=True)
 class Value:
-    """A register's value; version 0 is that of a register nobody wrote yet."""
+    """A register's value; version 0 means that the register was never written."""
 
     version: int = 0
     body: bytes = b""
-    changes: tuple[str, ...] = ()  # ids of the changes that made the last versions, newest last
+    changes: tuple[str, ...] = ()  # ids of the changes that made the most recent versions, newest last
 
 
-ABSENT = Value()
+ABSENT_VALUE = Value()
 
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """How one member stands to one register."""
+    """One member's acceptor state for one register."""
 
-    promised: Ballot = ZERO
-    accepted: Ballot = ZERO
-    value: Value = ABSENT
+    promised: Ballot = ZERO_BALLOT
+    accepted: Ballot = ZERO_BALLOT
+    value: Value = ABSENT_VALUE
 
 
-EMPTY = Slot()
+EMPTY_SLOT = Slot()
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Identity:
-    """A member is its name and the incarnation drawn when its directory was made; a lost directory is another one."""
+    """A member: its name and a random incarnation drawn when its directory was created.
+
+    A member that lost its directory gets a new incarnation and counts as another member.
+    """
 
     name: str
     incarnation: int
@@ -64,35 +70,46 @@
 
 @dataclass(frozen=True, slots=True)
 class Roster:
+    """The members of one epoch."""
+
     epoch: int
     members: tuple[Identity, ...]  # sorted
 
     @property
     def majority(self) -> int:
+        """The size of a quorum."""
         return len(self.members) // 2 + 1
 
     def names(self) -> list[str]:
+        """Returns the members' names in order."""
         return [member.name for member in self.members]
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaVersion:
-    """Which life of which directory says something. Counted up durably, so that an older copy shows."""
+    """The process that sends a packet and the version of its durable state.
+
+    `life` and `writes` are counters that are stored durably, so an older copy of the directory can be
+    recognized.
+    """
 
     name: str
     incarnation: int
     life: int
-    start: int  # drawn at the start of the process
+    start: int  # drawn at random when the process starts
     born: int  # writes of this directory before this life
-    writes: int  # and by now
+    writes: int  # writes of this directory up to now
 
 
-# what is asked of the council
+# requests to the council
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """Make `body` the register's value if its version is `expect` still. `id` is the asker's, never used twice."""
+    """A compare-and-set: makes `body` the register's value if its version is still `expect`.
+
+    `id` is chosen by the client and must never be used twice.
+    """
 
     id: str
     expect: int
@@ -101,14 +118,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    number: int  # the asker's, named in the answer
+    """A client's read or change of one register."""
+
+    number: int  # chosen by the client, repeated in the response
     client: str
     key: str
     change: Change | None  # None: read
-    deadline: float  # this member's clock, seconds
+    deadline: float  # seconds, by this member's clock
 
 
 class Outcome(Enum):
+    """How a request ended; the member names are sent to clients."""
+
     READ = "the register's value"
     DONE = "the change was made"
     CONFLICT = "the register has another version"
@@ -119,22 +140,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
+    """The outcome of a request; `value` is the register's value where it is known."""
+
     request: Request
     outcome: Outcome
-    value: Value = ABSENT
+    value: Value = ABSENT_VALUE
 
 
-# what members say; `round` numbers one try of one proposer's life
+# packets between members; `round` numbers one attempt of one proposer's life
 
 
 @dataclass(frozen=True, slots=True)
 class Look:
+    """Asks an acceptor for its accepted value, without a ballot: the fast path of a read."""
+
     round: int
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Looked:
+    """Reply to `Look`."""
+
     round: int
     accepted: Ballot
     value: Value
@@ -142,6 +169,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
+    """Phase 1: asks an acceptor to promise that it accepts no lower ballot."""
+
     round: int
     key: str
     ballot: Ballot
@@ -149,6 +178,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Promised:
+    """Reply to `Prepare`: the promise, with the value accepted last."""
+
     round: int
     accepted: Ballot
     value: Value
@@ -156,6 +187,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Accept:
+    """Phase 2: asks an acceptor to accept a value at this ballot."""
+
     round: int
     key: str
     ballot: Ballot
@@ -164,12 +197,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
+    """Reply to `Accept`: the vote."""
+
     round: int
 
 
 @dataclass(frozen=True, slots=True)
 class Outbid:
-    """A higher ballot was promised."""
+    """Rejects a `Prepare` or `Accept`: a higher ballot was promised."""
 
     round: int
     promised: Ballot
@@ -177,20 +212,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Seal:
-    """Vote no more in the epoch before this roster's, and say all you accepted."""
+    """Asks a member to stop voting in the epoch before this roster's and to report everything it accepted."""
 
     roster: Roster
 
 
 @dataclass(frozen=True, slots=True)
 class Sealed:
-    epoch: int  # that comes
+    """Reply to `Seal`: the member's accepted values."""
+
+    epoch: int  # the next epoch
     state: tuple[tuple[str, Ballot, Value], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """Begin this roster's epoch with this state."""
+    """Starts this roster's epoch with this state."""
 
     roster: Roster
     state: tuple[tuple[str, Ballot, Value], ...]
@@ -198,77 +235,87 @@
 
 @dataclass(frozen=True, slots=True)
 class Installed:
+    """Reply to `Install`: the receiver is in this epoch."""
+
     epoch: int
 
 
 @dataclass(frozen=True, slots=True)
 class Pulse:
-    """I am here, in this life."""
+    """Heartbeat of one life of a member."""
 
-    reply: int = 0  # the start of the life it answers, which is known durably now; 0: answers none
+    reply: int = 0  # the start of the life it replies to, which is now stored durably here; 0: not a reply
 
 
 @dataclass(frozen=True, slots=True)
 class Older:
-    """What was last seen of your directory is newer than what you say of it."""
+    """Tells a member that a newer state of its directory was seen than the one it reports."""
 
     seen: ReplicaVersion
 
 
 @dataclass(frozen=True, slots=True)
 class Elsewhere:
-    """You are not of this roster, which is the newest known here."""
+    """Tells a member that it is not in this roster, the newest one known to the sender."""
 
     roster: Roster
 
 
 @dataclass(frozen=True, slots=True)
 class Found:
-    """Shall these be the first members?"""
+    """Proposes the first roster."""
 
     roster: Roster
 
 
 @dataclass(frozen=True, slots=True)
 class Agreed:
+    """Reply to `Found`: agrees to the first roster."""
+
     roster: Roster
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
+    """The envelope of every message between members."""
+
     cluster: str
     sender: ReplicaVersion
     epoch: int  # of the sender; 0: it belongs to no council yet
     message: object
 
 
-# what a member wants done, in this order: nothing behind a Persist is carried out before it is on disk
+# effects of a member, in order: nothing behind a Persist is carried out before that is on disk
 
 
 @dataclass(frozen=True, slots=True)
 class Persist:
-    records: tuple[tuple[str, object], ...]  # name, value; a name kept before is replaced
+    """Stores records durably."""
+
+    records: tuple[tuple[str, object], ...]  # name, value; replaces an earlier record of the same name
 
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Sends a packet to a member, given by its name."""
+
     to: str
     packet: Packet
 
 
 @dataclass(frozen=True, slots=True)
 class Retire:
-    """This directory may vote no more, for this reason; the operator replaces the member."""
+    """Reports that this directory may never vote again; the operator has to replace the member."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class MemberOptions:
-    """Seconds, and bounds of what waits."""
+    """Intervals in seconds, and limits on waiting requests."""
 
-    pulse: float = 1.0  # between two pulses to a peer
-    again: float = 0.4  # without a majority's replies until the next try
-    backoff: float = 0.05  # after being outbid, doubled each time and spread
-    most_waiting: int = 1024  # asks that wait at a member
-    most_of_client: int = 32
+    heartbeat_interval: float = 1.0  # between two heartbeats to a peer
+    retry_timeout: float = 0.4  # without replies of a majority until the next attempt
+    backoff: float = 0.05  # after a higher ballot was seen, doubled with each attempt and jittered
+    max_waiting: int = 1024  # requests that wait at a member
+    max_waiting_per_client: int = 32
--- a/linedeal/council/rounds.py
+++ b/linedeal/council/rounds.py
@@ -1,6 +1,7 @@
-"""The course of one ask at the member that proposes for it: look, prepare, accept. Pure, in frozen records.
+"""The proposer's side of one request: look, prepare, accept. Pure functions on frozen records.
 
-Records rather than a coroutine, because the explorer copies a member's whole state at every step.
+The state is kept in records and not in a coroutine because the model checker in `lab/explore.py` copies a
+member's whole state at every step.
 """
 
 from dataclasses import dataclass, replace
@@ -10,18 +11,20 @@
 from linedeal.council.records import (
     Accept,
     Accepted,
-    Request,
     Ballot,
     Look,
     Looked,
     Outcome,
     Prepare,
     Promised,
+    Request,
     Value,
 )
 
 
 class Phase(Enum):
+    """The phase of an attempt."""
+
     LOOK = "reads without a ballot"
     PREPARE = "asks for promises"
     ACCEPT = "asks for votes"
@@ -29,28 +32,30 @@
 
 @dataclass(frozen=True, slots=True)
 class Round:
+    """The proposer's state for one request. Each attempt and each phase of it has a number of its own."""
+
     request: Request
-    number: int  # of this try; a reply to another try has another number and is not counted
+    number: int  # of this phase of the attempt; replies with another number are ignored
     ballot: Ballot
     phase: Phase
-    retry_at: float  # when the next try begins, if no majority answered
-    votes: tuple[tuple[str, Ballot, Value], ...] = ()  # each member's once, whatever arrives twice
+    retry_at: float  # when the next attempt starts if no majority has replied
+    votes: tuple[tuple[str, Ballot, Value], ...] = ()  # one for each member, whatever is received twice
     proposal: Value | None = None
-    outcome: Outcome | None = None  # what the ask comes to once the proposal is chosen
-    top: int = 0  # highest round of a ballot heard of
-    tries: int = 1
+    outcome: Outcome | None = None  # of the request once the proposal is chosen
+    max_ballot_round: int = 0  # highest `round` of any ballot seen
+    attempt: int = 1
 
 
 @dataclass(frozen=True, slots=True)
 class RoundResult:
-    """The ask is over."""
+    """The request is finished."""
 
     outcome: Outcome
     value: Value
 
 
 def message(round: Round) -> Look | Prepare | Accept:
-    """What every member is asked in this phase."""
+    """Returns the packet that every member is sent in this phase."""
     if round.phase is Phase.LOOK:
         return Look(round.number, round.request.key)
     if round.phase is Phase.PREPARE:
@@ -59,26 +64,30 @@
 
 
 def handle_reply(
-    round: Round, name: str, said: Looked | Promised | Accepted, majority: int, number: int
+    round: Round, name: str, reply: Looked | Promised | Accepted, majority: int, number: int
 ) -> Round | RoundResult:
-    """The round after a member's reply. `number` is that of the next try, should this reply begin one."""
+    """Returns the round after a member's reply.
+
+    `number` is that of the next phase, if this reply starts one.
+    """
     expected = {Phase.LOOK: Looked, Phase.PREPARE: Promised, Phase.ACCEPT: Accepted}[round.phase]
     if (
-        type(said) is not expected
-        or said.round != round.number
+        type(reply) is not expected
+        or reply.round != round.number
         or name in [voter for voter, *_ in round.votes]
     ):
         return round
     if round.phase is Phase.ACCEPT:
         round = replace(round, votes=(*round.votes, (name, round.ballot, round.proposal)))
     else:
-        round = replace(round, votes=(*round.votes, (name, said.accepted, said.value)))
+        round = replace(round, votes=(*round.votes, (name, reply.accepted, reply.value)))
     if len(round.votes) < majority:
         return round
     return FINISH_PHASE[round.phase](round, number)
 
 
 def finish_look(round: Round, number: int) -> Round | RoundResult:
+    """Ends the look phase: if the votes prove no chosen value, the prepare phase follows."""
     value = slots.chosen_value([vote[1:] for vote in round.votes], round.ballot.epoch)
     if value is not None:
         return RoundResult(Outcome.READ, value)
@@ -86,7 +95,10 @@
 
 
 def finish_prepare(round: Round, number: int) -> Round:
-    """Propose: the change made to what was accepted last, or just that, so that what is told is chosen for sure."""
+    """Ends the prepare phase: proposes the value accepted last, with the request's change applied.
+
+    A read proposes the value unchanged, so that the value it returns is certain to be chosen.
+    """
     _, value = slots.highest_vote(vote[1:] for vote in round.votes)
     outcome = Outcome.READ
     if round.request.change is not None:
@@ -95,6 +107,7 @@
 
 
 def finish_accept(round: Round, number: int) -> RoundResult:
+    """Ends the accept phase: the proposal is chosen."""
     return RoundResult(round.outcome, round.proposal)
 
 
--- a/linedeal/council/slots.py
+++ b/linedeal/council/slots.py
@@ -1,49 +1,65 @@
-"""What one member may vote on one register, and how a register's value changes. Pure functions."""
+"""The acceptor's rules for one register, and the register's state transition. Pure functions."""
 
+from collections.abc import Iterable
 from dataclasses import replace
-from typing import Iterable
 
-from linedeal.council.records import EMPTY, RECENT, ZERO, Ballot, Change, Outcome, Slot, Value
+from linedeal.council.records import (
+    EMPTY_SLOT,
+    MAX_REMEMBERED_CHANGES,
+    ZERO_BALLOT,
+    Ballot,
+    Change,
+    Outcome,
+    Slot,
+    Value,
+)
 
 
 def prepare(slot: Slot, ballot: Ballot) -> Slot | None:
-    """The slot with its promise; None where a ballot as high was promised already."""
+    """Returns the slot with the promise, or None if an equal or higher ballot was already promised."""
     return replace(slot, promised=ballot) if ballot > slot.promised else None
 
 
 def accept(slot: Slot, ballot: Ballot, value: Value) -> Slot | None:
-    """The slot with the value accepted; None where a higher ballot was promised."""
+    """Returns the slot with the value accepted, or None if a higher ballot was promised."""
     return Slot(ballot, ballot, value) if ballot >= slot.promised else None
 
 
 def highest_vote(votes: Iterable[tuple[Ballot, Value]]) -> tuple[Ballot, Value]:
-    """What must be carried on: the value accepted at the highest ballot. Equal ballots have equal values."""
-    return max(votes, key=lambda vote: vote[0], default=(ZERO, EMPTY.value))
+    """Returns the vote at the highest ballot, which a proposer must build on.
+
+    Equal ballots have equal values.
+    """
+    return max(votes, key=lambda vote: vote[0], default=(ZERO_BALLOT, EMPTY_SLOT.value))
 
 
 def chosen_value(votes: list[tuple[Ballot, Value]], epoch: int) -> Value | None:
-    """The value a majority's looks show to be chosen; None where that cannot be told from them.
+    """Returns the value that the votes of a majority prove to be chosen, or None if they prove nothing.
 
-    Votes of an earlier epoch do not show it: members took them over at a move, and need not have cast them.
+    Votes of an earlier epoch prove nothing: members take them over in a reconfiguration and need not have
+    cast them.
     """
     ballots = {accepted for accepted, _ in votes}
-    if len(ballots) == 1 and (ballots == {ZERO} or ballots.pop().epoch == epoch):
+    if len(ballots) == 1 and (ballots == {ZERO_BALLOT} or ballots.pop().epoch == epoch):
         return votes[0][1]
     return None
 
 
 def apply_change(value: Value, change: Change) -> tuple[Outcome, Value]:
-    """What the change makes of the value. Asked for again after it was made, it is DONE and changes nothing.
+    """Applies a change to a value. A change that was already made is DONE and has no further effect.
 
-    A change made could only make version `expect` + 1; whose change made that is remembered for a while.
+    A change can only make version `expect` + 1. The ids of the latest changes are remembered, so a repeated
+    request is recognized; beyond them the outcome is UNKNOWN.
 
     >>> outcome, one = apply_change(Value(), Change("a", 0, b"1"))
     >>> [apply_change(one, Change("a", 0, b"1"))[0].name, apply_change(one, Change("b", 0, b"2"))[0].name]
     ['DONE', 'CONFLICT']
     """
     if value.version == change.expect:
-        return Outcome.DONE, Value(value.version + 1, change.body, (*value.changes, change.id)[-RECENT:])
-    back = value.version - change.expect  # its place from the newest, counted from 1
-    if back < 0 or 0 < back <= len(value.changes) and value.changes[-back] != change.id:
+        return Outcome.DONE, Value(
+            value.version + 1, change.body, (*value.changes, change.id)[-MAX_REMEMBERED_CHANGES:]
+        )
+    age = value.version - change.expect  # position of the change among `changes`, 1 for the newest
+    if age < 0 or 0 < age <= len(value.changes) and value.changes[-age] != change.id:
         return Outcome.CONFLICT, value
-    return (Outcome.DONE if back <= len(value.changes) else Outcome.UNKNOWN), value
+    return (Outcome.DONE if age <= len(value.changes) else Outcome.UNKNOWN), value
--- a/linedeal/council/staleness.py
+++ b/linedeal/council/staleness.py
@@ -1,8 +1,9 @@
-"""How members find out that one of them came back with an older copy of its directory. Pure functions.
+"""Detects a member that came back with an older copy of its directory. Pure functions.
 
-Every message has its sender's mark; each member keeps durably the newest mark it saw of every other, before it counts
-what came with it. A directory counts its lives and its writes. A copy from before the last write that anybody saw says
-either a life that was seen already, or that it was born with fewer writes than were seen.
+Every packet carries its sender's version, and each member stores durably the newest version it has seen of
+every other member before it acts on the packet. A directory counts its lives and its writes. A copy made
+before the last write that any other member saw therefore shows either a life that was already seen, or fewer
+writes at its start than were seen.
 """
 
 from dataclasses import replace
@@ -12,31 +13,36 @@
 
 
 class Freshness(Enum):
-    KNOWN = "this life, nothing newer"
-    NEWER = "to be kept before it is counted"
-    STALE = "of an earlier life, or of an older copy: not counted, and told so"
+    """How a received version compares with the newest one seen of the same directory."""
 
+    KNOWN = "the same life, nothing newer"
+    NEWER = "newer: stored before the packet is processed"
+    STALE = "of an earlier life or an older copy: the packet is rejected and the sender is told"
 
-def check_freshness(seen: ReplicaVersion | None, mark: ReplicaVersion) -> tuple[Freshness, ReplicaVersion]:
-    """What the mark shows beside the newest one seen of the same directory, and which is the newest then."""
+
+def check_freshness(
+    seen: ReplicaVersion | None, received: ReplicaVersion
+) -> tuple[Freshness, ReplicaVersion]:
+    """Compares a received version with the newest one seen, and returns the newest of both as well."""
     if seen is None:
-        return Freshness.NEWER, mark
-    if mark.start == seen.start:
-        if mark.writes <= seen.writes:
+        return Freshness.NEWER, received
+    if received.start == seen.start:
+        if received.writes <= seen.writes:
             return Freshness.KNOWN, seen
-        return Freshness.NEWER, replace(seen, writes=mark.writes)
-    if mark.life > seen.life and mark.born >= seen.writes:
-        return Freshness.NEWER, mark
+        return Freshness.NEWER, replace(seen, writes=received.writes)
+    if received.life > seen.life and received.born >= seen.writes:
+        return Freshness.NEWER, received
     return Freshness.STALE, seen
 
 
-def is_outdated(mine: ReplicaVersion, seen: ReplicaVersion) -> bool:
-    """Whether another's word of what it saw of this directory proves that this one is an older copy.
+def is_outdated(own: ReplicaVersion, seen: ReplicaVersion) -> bool:
+    """Returns whether the version that another member saw proves that this directory is an older copy.
 
-    Word of an earlier life of ours, come late, proves nothing: it says fewer writes than we were born with.
+    A delayed report about an earlier life of this directory proves nothing: it has no more writes than this
+    life started with.
     """
     return (
-        seen.incarnation == mine.incarnation
-        and seen.start != mine.start
-        and (seen.life >= mine.life or seen.writes > mine.born)
+        seen.incarnation == own.incarnation
+        and seen.start != own.start
+        and (seen.life >= own.life or seen.writes > own.born)
     )
--- a/linedeal/duties/census.py
+++ b/linedeal/duties/census.py
@@ -1,7 +1,8 @@
-"""The census: what all controllers see, summed up by its owner and spread as information with an age. Pure.
+"""The census: the sum of all controllers' reports, written by the duty's owner. Pure.
 
-Nobody waits for it, and nothing of a job's way depends on it. Controllers report every few seconds to a member of the
-council, which keeps the last report of each in memory; the duty's owner gathers the members' reports and writes the sum.
+It is information with an age; nothing waits for it, and no job depends on it. Controllers report every few
+seconds to a member of the council, which keeps each one's last report in memory. The owner collects the
+members' reports and writes the sum into a register.
 """
 
 from dataclasses import dataclass, field
@@ -10,104 +11,121 @@
 
 from linedeal.duties.duty import DutyError
 
-CENSUS_KEY = "census"  # the register that holds the last sum
-MOST_REPORTS = 900  # controllers whose last report a member keeps; all of them fit into one frame
-MAX_REPORT_BYTES = 1024  # bytes of one
-FRESH = 10.0  # seconds for which a report counts; older: its controller is missing
-FORGET = 600.0  # seconds after which a controller that reports no more is no longer missed
-MOST_NAMED = 64  # missing controllers that are named, the rest are counted
+CENSUS_KEY = "census"  # the register that holds the latest census
+MAX_REPORTS = 900  # controllers whose last report a member keeps; all of them fit into one frame
+MAX_REPORT_BYTES = 1024
+FRESH_SECONDS = 10.0  # age up to which a report counts; the controller of an older one is missing
+FORGET_SECONDS = 600.0  # age from which a silent controller is not listed as missing any more
+MAX_NAMED_MISSING = 64  # missing controllers that are listed by name; the others are only counted
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What one controller sees: sums since its start, and how it stands now, by kind and zone where it knows them."""
+    """One controller's counters since its start, and current figures by kind and zone where known."""
 
     controller: str
     life: int
-    sums: dict[str, float] = field(default_factory=dict)  # as `Engine.counts`
-    stands: dict[str, float] = field(default_factory=dict)  # held, waiting, hosts, links
+    sums: dict[str, float] = field(default_factory=dict)  # as in `Engine.counts`
+    stands: dict[str, float] = field(default_factory=dict)  # current figures: held, waiting, hosts, links
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
+    """A report as a member of the council keeps it."""
+
     report: Report
-    age: float  # seconds since the member heard it
+    age: float  # seconds since the member received it
 
 
 @dataclass(frozen=True, slots=True)
 class Census:
-    """The sum. `age` is of the oldest report in it as it was made, seconds."""
+    """The sum of the fresh reports."""
 
-    token: int
-    number: int  # larger with each census under one token
+    token: int  # of the owner that made it
+    number: int  # rises with each census made under one token
     controllers: int
     missing: tuple[str, ...]
     missing_in_all: int
-    age: float
+    age: float  # seconds, of the oldest report in it when it was made
     sums: dict[str, float]
     stands: dict[str, float]
 
 
 def merge_reports(gathered: list[list[ReceivedReport]], token: int, number: int) -> Census:
-    """Of each controller the newest life's youngest report, whichever member has it.
+    """Returns the census of the members' reports, with the latest report of each controller's latest life.
 
     >>> one, two = Report("c1", 1, {"taken": 2}), Report("c2", 1, {"taken": 3})
-    >>> census = merge_reports([[ReceivedReport(one, 0.5), ReceivedReport(two, 30.0)], [ReceivedReport(one, 9.0)]], 1, 1)
+    >>> gathered = [[ReceivedReport(one, 0.5), ReceivedReport(two, 30.0)], [ReceivedReport(one, 9.0)]]
+    >>> census = merge_reports(gathered, 1, 1)
     >>> census.controllers, census.missing, census.sums
     (1, ('c2',), {'taken': 2})
     """
-    best: dict[str, ReceivedReport] = {}
-    for kept in (kept for reports in gathered for kept in reports):
-        known = best.get(kept.report.controller)
-        if known is None or (-kept.report.life, kept.age) < (-known.report.life, known.age):
-            best[kept.report.controller] = kept
-    fresh = [kept for kept in best.values() if kept.age <= FRESH]
-    missing = sorted(name for name, kept in best.items() if FRESH < kept.age <= FORGET)
+    latest: dict[str, ReceivedReport] = {}
+    for received in (received for reports in gathered for received in reports):
+        known = latest.get(received.report.controller)
+        if known is None or (-received.report.life, received.age) < (-known.report.life, known.age):
+            latest[received.report.controller] = received
+    fresh = [received for received in latest.values() if received.age <= FRESH_SECONDS]
+    missing = sorted(
+        name for name, received in latest.items() if FRESH_SECONDS < received.age <= FORGET_SECONDS
+    )
     return Census(
         token,
         number,
         len(fresh),
-        tuple(missing[:MOST_NAMED]),
+        tuple(missing[:MAX_NAMED_MISSING]),
         len(missing),
-        max((kept.age for kept in fresh), default=0.0),
-        added(kept.report.sums for kept in fresh),
-        added(kept.report.stands for kept in fresh),
+        max((received.age for received in fresh), default=0.0),
+        add_figures(received.report.sums for received in fresh),
+        add_figures(received.report.stands for received in fresh),
     )
 
 
-def added(figures) -> dict[str, float]:
+def add_figures(reports) -> dict[str, float]:
+    """Returns the sums of the figures of the same name."""
     total: dict[str, float] = {}
-    for one in figures:
-        for name, figure in one.items():
+    for figures in reports:
+        for name, figure in figures.items():
             total[name] = total.get(name, 0) + figure
     return total
 
 
 class ReportTable:
-    """A member's: the last of each controller. The longest unheard goes where there are too many."""
+    """The last report of each controller, in a member's memory, up to `MAX_REPORTS`.
+
+    When it is full, the controller that has been silent for longest is dropped.
+    """
 
     def __init__(self):
-        self.last: dict[str, tuple[float, Report]] = {}
+        """Starts empty."""
+        self.last: dict[str, tuple[float, Report]] = {}  # time of receipt and report, in the order of receipt
 
     def put(self, report: Report, now: float) -> None:
+        """Stores a report, unless one of a later life is known."""
         known = self.last.pop(report.controller, None)
         if known is not None and known[1].life > report.life:
-            self.last[report.controller] = known  # said by an earlier life, come late
+            self.last[report.controller] = known  # the new one is from an earlier life and was delayed
             return
         self.last[report.controller] = now, report
-        if len(self.last) > MOST_REPORTS:
+        if len(self.last) > MAX_REPORTS:
             del self.last[next(iter(self.last))]
 
     def all(self, now: float) -> list[ReceivedReport]:
-        return [ReceivedReport(report, now - at) for at, report in self.last.values() if now - at <= FORGET]
+        """Returns all reports that are not forgotten yet, with their age."""
+        return [
+            ReceivedReport(report, now - at)
+            for at, report in self.last.values()
+            if now - at <= FORGET_SECONDS
+        ]
 
 
-def encode(what: Report | Census | list[ReceivedReport]) -> bytes:
-    return msgspec.msgpack.encode(what)
+def encode(data: Report | Census | list[ReceivedReport]) -> bytes:
+    """Encodes data for a register or a message."""
+    return msgspec.msgpack.encode(data)
 
 
 def decode(body: bytes, kind):
-    """Raises DutyError, one plain line."""
+    """Decodes data of the given type. Raises DutyError if it is not of that type."""
     try:
         return msgspec.msgpack.decode(body, type=kind)
     except msgspec.DecodeError as error:
--- a/linedeal/duties/fence.py
+++ b/linedeal/duties/fence.py
@@ -1,25 +1,31 @@
-"""What whoever carries out an effect checks: the highest token seen for each duty only rises. Pure.
+"""The check of fencing tokens by whoever carries out a duty's effects. Pure.
 
-This, and no clock, is what keeps a late owner from doing harm. The caller keeps the tokens where its effects outlive
-it, before it carries the effect out.
+The highest token seen for each duty only rises, and effects with a lower one are rejected. This, and not any
+clock, prevents a former owner from doing harm. Where effects outlive the process that carries them out, the
+caller has to store the tokens before it carries out the effect.
 """
 
 from dataclasses import dataclass
 
 from linedeal.duties.duty import DutyError
 
-MOST_DUTIES = 256
+MAX_DUTIES = 256
 
 
 @dataclass(frozen=True, slots=True)
 class Fence:
-    tokens: tuple[tuple[str, int], ...] = ()  # duty and the highest token seen, sorted
+    """The highest token seen for each duty."""
+
+    tokens: tuple[tuple[str, int], ...] = ()  # duty and token, sorted
 
     def highest(self, duty: str) -> int:
+        """Returns the highest token seen for the duty, or 0."""
         return dict(self.tokens).get(duty, 0)
 
     def admit(self, duty: str, token: int) -> "Fence":
-        """The fence once an effect by this token is let through. Raises DutyError for an old owner's.
+        """Returns the fence after an effect with this token is admitted.
+
+        Raises DutyError if a higher token was seen, or tokens of too many duties are stored.
 
         >>> fence = Fence().admit("campaign", 4)
         >>> fence.admit("campaign", 3)
@@ -29,8 +35,8 @@
         highest = self.highest(duty)
         if token < highest:
             raise DutyError(f"{duty}: token {token} is an old owner's, {highest} was seen")
-        if not highest and len(self.tokens) >= MOST_DUTIES:
-            raise DutyError(f"{duty}: tokens of {MOST_DUTIES} duties are kept already")
+        if not highest and len(self.tokens) >= MAX_DUTIES:
+            raise DutyError(f"{duty}: tokens of {MAX_DUTIES} duties are already stored")
         if token == highest:
             return self
         return Fence(tuple(sorted((dict(self.tokens) | {duty: token}).items())))
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -1,23 +1,23 @@
-"""The council's core: single decisions, every order of small cases, random orders of larger ones, and guards out."""
+"""The council's core: single decisions, exhaustive and random schedules, and removed safeguards."""
 
 import pytest
 
 from linedeal.council import reconfiguration, staleness
 from linedeal.council.member import Member
 from linedeal.council.records import (
-    MOST_BODY,
+    MAX_BODY_BYTES,
     ROSTER_KEY,
-    Response,
-    Request,
     Change,
-    InvalidRequestError,
     Identity,
+    InvalidRequestError,
+    MemberOptions,
+    Outcome,
     Persist,
     ReplicaVersion,
-    Outcome,
+    Request,
+    Response,
     Roster,
     Send,
-    MemberOptions,
     Value,
 )
 from linedeal.council.slots import apply_change
@@ -26,38 +26,47 @@
 from linedeal.lab.history import Op, linearizable
 
 
-class Town:
-    """Members that hear each other at once, each with its disk."""
+class Cluster:
+    """Members that receive each other's packets at once, each with its disk."""
 
-    def __init__(self, named: str = "abc", running: str = ""):
-        self.named = tuple(named)
+    def __init__(self, names: str = "abc", running: str = ""):
+        self.founding_names = tuple(names)
         self.disks = {}
         self.members: dict[str, Member] = {}
         self.incarnations = {}
-        self.answers: list[Response] = []
-        self.cut: set[str] = set()
+        self.responses: list[Response] = []
+        self.disconnected: set[str] = set()
         self.starts = self.now = 0
-        for name in running or named:
+        for name in running or names:
             self.start(name)
 
-    def start(self, name: str, lost: bool = False) -> None:
-        """Anew from its disk, or from an empty one as another incarnation."""
+    def start(self, name: str, disk_lost: bool = False) -> None:
+        """Starts a member from its disk, or from an empty one as another incarnation."""
         self.starts += 1
-        if lost or name not in self.disks:
+        if disk_lost or name not in self.disks:
             self.disks[name], self.incarnations[name] = {}, self.starts
         self.members[name] = Member(
-            Identity(name, self.incarnations[name]), "lapa", self.named, self.disks[name], self.starts, half
+            Identity(name, self.incarnations[name]),
+            "lapa",
+            self.founding_names,
+            self.disks[name],
+            self.starts,
+            half,
         )
-        self.carry(name, self.members[name].begin(self.now))
+        self.carry_out(name, self.members[name].begin(self.now))
 
-    def carry(self, name: str, effects: list) -> None:
+    def carry_out(self, name: str, effects: list) -> None:
         for effect in effects:
             if type(effect) is Persist:
                 self.disks[name].update(effect.records)
-            elif type(effect) is Send and effect.to in self.members and not self.cut & {name, effect.to}:
-                self.carry(effect.to, self.members[effect.to].receive(effect.packet, self.now))
+            elif (
+                type(effect) is Send
+                and effect.to in self.members
+                and not self.disconnected & {name, effect.to}
+            ):
+                self.carry_out(effect.to, self.members[effect.to].receive(effect.packet, self.now))
             elif type(effect) is Response:
-                self.answers.append(effect)
+                self.responses.append(effect)
 
     def wait(self, seconds: float) -> None:
         until = self.now + seconds
@@ -65,222 +74,230 @@
             self.now += 0.1
             for name, member in list(self.members.items()):
                 if name in self.members and self.now >= member.next_tick():
-                    self.carry(name, member.tick(self.now))
+                    self.carry_out(name, member.tick(self.now))
 
-    def ask(self, at: str, change: Change | None, key: str = "k", wait: float = 0.5) -> Response:
-        self.carry(
+    def request(self, at: str, change: Change | None, key: str = "k", wait: float = 0.5) -> Response:
+        self.carry_out(
             at,
-            self.members[at].submit(Request(len(self.answers), "c", key, change, self.now + wait), self.now),
+            self.members[at].submit(
+                Request(len(self.responses), "c", key, change, self.now + wait), self.now
+            ),
         )
         self.wait(wait + 0.2)
-        return self.answers[-1]
+        return self.responses[-1]
 
     def replace(self, at: str, old: str, new: str) -> Response:
         roster = reconfiguration.replace_member(
             self.members[at].roster, old, self.members[at].candidates()[new]
         )
-        version = self.ask(at, None, ROSTER_KEY).value.version
-        return self.ask(
+        version = self.request(at, None, ROSTER_KEY).value.version
+        return self.request(
             at, Change(f"{old}-{new}", version, reconfiguration.encode_roster(roster)), ROSTER_KEY, 3.0
         )
 
 
-def test_members_that_were_never_of_a_council_form_one_when_all_agree():
-    town = Town(running="ab")
-    town.wait(3)
-    assert [member.roster.epoch for member in town.members.values()] == [0, 0]
-    town.start("c")
-    town.wait(3)
-    assert {member.roster for member in town.members.values()} == {
-        Roster(1, tuple(Identity(name, town.incarnations[name]) for name in "abc"))
+def test_first_roster_requires_consent_of_all_members():
+    cluster = Cluster(running="ab")
+    cluster.wait(3)
+    assert [member.roster.epoch for member in cluster.members.values()] == [0, 0]
+    cluster.start("c")
+    cluster.wait(3)
+    assert {member.roster for member in cluster.members.values()} == {
+        Roster(1, tuple(Identity(name, cluster.incarnations[name]) for name in "abc"))
     }
-    assert town.ask("c", Change("w", 0, b"1")).outcome is Outcome.DONE
-    assert town.ask("a", None).value == Value(1, b"1", ("w",))
-
-
-def test_two_that_are_named_by_different_files_form_nothing():
-    town = Town(running="ab")
-    town.members["b"].named = ("b", "c", "d")
-    town.start("c")
-    town.wait(3)
-    assert all(not member.roster.epoch for member in town.members.values())
-
-
-def test_a_majority_goes_on_and_a_minority_answers_that_it_does_not_know():
-    town = Town()
-    town.wait(2)
-    town.cut = {"c"}
-    assert town.ask("a", Change("w", 0, b"1")).outcome is Outcome.DONE
-    assert town.ask("c", None).outcome is Outcome.UNKNOWN
-    town.cut = set()
-    assert town.ask("c", None).value.body == b"1"
-
-
-def test_a_member_whose_disk_is_lost_does_not_vote_and_is_put_in_anew():
-    town = Town()
-    town.wait(2)
-    town.ask("a", Change("w", 0, b"1"))
-    town.start("c", lost=True)
-    town.wait(3)
-    lost = town.members["c"]
-    assert not lost.may_vote() and lost.excluded_by == town.members["a"].roster
-    assert town.ask("c", None).outcome is Outcome.UNREADY
-    assert town.replace("a", "c", "c").outcome is Outcome.DONE
-    town.wait(3)
+    assert cluster.request("c", Change("w", 0, b"1")).outcome is Outcome.DONE
+    assert cluster.request("a", None).value == Value(1, b"1", ("w",))
+
+
+def test_members_with_different_cluster_files_form_no_council():
+    cluster = Cluster(running="ab")
+    cluster.members["b"].founding_names = ("b", "c", "d")
+    cluster.start("c")
+    cluster.wait(3)
+    assert all(not member.roster.epoch for member in cluster.members.values())
+
+
+def test_majority_continues_and_minority_answers_unknown():
+    cluster = Cluster()
+    cluster.wait(2)
+    cluster.disconnected = {"c"}
+    assert cluster.request("a", Change("w", 0, b"1")).outcome is Outcome.DONE
+    assert cluster.request("c", None).outcome is Outcome.UNKNOWN
+    cluster.disconnected = set()
+    assert cluster.request("c", None).value.body == b"1"
+
+
+def test_member_with_lost_disk_does_not_vote_until_it_is_added_again():
+    cluster = Cluster()
+    cluster.wait(2)
+    cluster.request("a", Change("w", 0, b"1"))
+    cluster.start("c", disk_lost=True)
+    cluster.wait(3)
+    lost = cluster.members["c"]
+    assert not lost.may_vote() and lost.excluded_by == cluster.members["a"].roster
+    assert cluster.request("c", None).outcome is Outcome.UNREADY
+    assert cluster.replace("a", "c", "c").outcome is Outcome.DONE
+    cluster.wait(3)
     assert lost.may_vote() and lost.roster.epoch == 2
-    town.cut = {"b"}
-    assert town.ask("c", None).value.body == b"1"
-
-
-def test_an_older_copy_of_a_directory_retires():
-    town = Town()
-    town.wait(2)
-    copy = dict(town.disks["c"])
-    town.ask("c", Change("w", 0, b"1"))
-    town.disks["c"] = copy
-    town.start("c")
-    town.wait(2)
-    assert not town.members["c"].may_vote() and "newer copy of this directory" in town.members["c"].retired
-    town.start("c")
-    assert town.members["c"].retired, "it is kept"
-
-
-def test_after_a_start_a_member_votes_when_all_others_know_it_or_the_operator_vouches():
-    town = Town()
-    town.wait(2)
-    town.cut = {"b"}
-    town.start("c")
-    town.wait(3)
-    assert not town.members["c"].may_vote()
-    assert town.ask("a", None).outcome is Outcome.UNKNOWN
-    town.carry("c", town.members["c"].confirm_directory(town.now))
-    assert town.ask("a", None).outcome is Outcome.READ
-
-
-def test_a_reply_to_an_earlier_life_does_not_admit_this_one():
-    town = Town()
-    town.wait(2)
-    town.members.pop("a")
-    pulses = []
-    town.carry = lambda name, effects: pulses.extend(one for one in effects if type(one) is Send)
-    town.start("a")
-    from_b = [one for one in town.members["b"].receive(pulses[0].packet, town.now) if type(one) is Send]
-    town.start("a")
-    town.members["a"].receive(from_b[-1].packet, town.now)
-    assert "b" not in town.members["a"].known_by
+    cluster.disconnected = {"b"}
+    assert cluster.request("c", None).value.body == b"1"
+
+
+def test_older_copy_of_a_directory_retires():
+    cluster = Cluster()
+    cluster.wait(2)
+    copy = dict(cluster.disks["c"])
+    cluster.request("c", Change("w", 0, b"1"))
+    cluster.disks["c"] = copy
+    cluster.start("c")
+    cluster.wait(2)
+    assert (
+        not cluster.members["c"].may_vote() and "newer copy of this directory" in cluster.members["c"].retired
+    )
+    cluster.start("c")
+    assert cluster.members["c"].retired, "it is stored"
+
+
+def test_restarted_member_votes_once_all_others_know_it_or_the_operator_confirms_its_directory():
+    cluster = Cluster()
+    cluster.wait(2)
+    cluster.disconnected = {"b"}
+    cluster.start("c")
+    cluster.wait(3)
+    assert not cluster.members["c"].may_vote()
+    assert cluster.request("a", None).outcome is Outcome.UNKNOWN
+    cluster.carry_out("c", cluster.members["c"].confirm_directory(cluster.now))
+    assert cluster.request("a", None).outcome is Outcome.READ
+
+
+def test_reply_to_an_earlier_life_does_not_admit_the_current_one():
+    cluster = Cluster()
+    cluster.wait(2)
+    cluster.members.pop("a")
+    heartbeats = []
+    cluster.carry_out = lambda name, effects: heartbeats.extend(
+        effect for effect in effects if type(effect) is Send
+    )
+    cluster.start("a")
+    from_b = [
+        effect
+        for effect in cluster.members["b"].receive(heartbeats[0].packet, cluster.now)
+        if type(effect) is Send
+    ]
+    cluster.start("a")
+    cluster.members["a"].receive(from_b[-1].packet, cluster.now)
+    assert "b" not in cluster.members["a"].known_by
 
 
 def test_members_are_replaced_one_after_the_other_until_all_are_new():
-    town = Town()
-    town.wait(2)
-    town.ask("a", Change("w", 0, b"1"))
+    cluster = Cluster()
+    cluster.wait(2)
+    cluster.request("a", Change("w", 0, b"1"))
     for old, new, at in [("a", "d", "b"), ("b", "e", "b"), ("c", "f", "d")]:
-        town.start(new)
-        town.wait(1.5)
-        assert town.replace(at, old, new).outcome is Outcome.DONE
-        town.wait(3)
-    assert town.members["f"].roster.names() == ["d", "e", "f"] and town.members["f"].roster.epoch == 4
-    assert town.ask("f", None).value.body == b"1"
-    assert all("replaced" in town.members[name].retired for name in "abc")
-
-
-def test_a_mover_that_dies_after_a_majority_sealed_is_followed_by_another():
-    town = Town()
-    town.wait(2)
-    town.start("d")
-    town.wait(1.5)
+        cluster.start(new)
+        cluster.wait(1.5)
+        assert cluster.replace(at, old, new).outcome is Outcome.DONE
+        cluster.wait(3)
+    assert cluster.members["f"].roster.names() == ["d", "e", "f"] and cluster.members["f"].roster.epoch == 4
+    assert cluster.request("f", None).value.body == b"1"
+    assert all("replaced" in cluster.members[name].retired for name in "abc")
+
+
+def test_reconfiguration_completes_if_its_initiator_crashes_after_a_majority_sealed():
+    cluster = Cluster()
+    cluster.wait(2)
+    cluster.start("d")
+    cluster.wait(1.5)
     roster = reconfiguration.replace_member(
-        town.members["a"].roster, "c", town.members["a"].candidates()["d"]
+        cluster.members["a"].roster, "c", cluster.members["a"].candidates()["d"]
     )
     for name in "ab":
-        town.members[name].seal(roster)
-        town.carry(name, town.members[name].take_effects())
-    town.wait(3)
-    assert town.members["d"].roster == town.members["a"].roster == roster
-
-
-def test_one_alone_does_all_in_one_call_and_many_that_wait_do_not_nest():
-    town = Town("a")
-    town.wait(1.1)
-    assert town.ask("a", Change("w", 0, b"1")).outcome is Outcome.DONE
-    alone = town.members["a"]
-    alone.timing = MemberOptions(most_of_client=2000, most_waiting=2000)
-    alone.sealed = alone.roster
+        cluster.members[name].seal(roster)
+        cluster.carry_out(name, cluster.members[name].take_effects())
+    cluster.wait(3)
+    assert cluster.members["d"].roster == cluster.members["a"].roster == roster
+
+
+def test_single_member_finishes_each_request_at_once_and_waiting_requests_do_not_recurse():
+    cluster = Cluster("a")
+    cluster.wait(1.1)
+    assert cluster.request("a", Change("w", 0, b"1")).outcome is Outcome.DONE
+    single = cluster.members["a"]
+    single.options = MemberOptions(max_waiting_per_client=2000, max_waiting=2000)
+    single.sealed = single.roster
     for number in range(1500):
-        alone.submit(Request(number, "c", "k", None, 1e9), town.now)
-    alone.sealed = None
-    assert len([one for one in alone.tick(town.now + 1) if type(one) is Response]) == 1500
+        single.submit(Request(number, "c", "k", None, 1e9), cluster.now)
+    single.sealed = None
+    assert len([effect for effect in single.tick(cluster.now + 1) if type(effect) is Response]) == 1500
 
 
-def test_what_waits_is_bounded_a_client_and_in_all_and_ends_by_its_time():
-    town = Town()
-    town.wait(2)
-    town.cut = {"a"}
-    member = town.members["a"]
-    answers = []
+def test_waiting_requests_are_limited_per_client_and_end_at_their_deadline():
+    cluster = Cluster()
+    cluster.wait(2)
+    cluster.disconnected = {"a"}
+    member = cluster.members["a"]
+    responses = []
     for client, number in [("one", n) for n in range(40)] + [("two", n) for n in range(3)]:
-        answers += [
-            one
-            for one in member.submit(Request(number, client, "k", None, town.now + 1), town.now)
-            if type(one) is Response
+        responses += [
+            effect
+            for effect in member.submit(Request(number, client, "k", None, cluster.now + 1), cluster.now)
+            if type(effect) is Response
         ]
-    assert [(one.request.client, one.outcome) for one in answers] == [("one", Outcome.BUSY)] * 8
-    late = [one for one in member.tick(town.now + 2) if type(one) is Response]
-    assert len(late) == 35 and {one.outcome for one in late} == {Outcome.UNKNOWN}
+    assert [(response.request.client, response.outcome) for response in responses] == [
+        ("one", Outcome.BUSY)
+    ] * 8
+    expired = [effect for effect in member.tick(cluster.now + 2) if type(effect) is Response]
+    assert len(expired) == 35 and {response.outcome for response in expired} == {Outcome.UNKNOWN}
     with pytest.raises(InvalidRequestError, match="k: 8193 bytes, a register holds 8192 at most"):
-        member.submit(Request(1, "c", "k", Change("w", 0, bytes(MOST_BODY + 1)), 1e9), town.now)
+        member.submit(Request(1, "c", "k", Change("w", 0, bytes(MAX_BODY_BYTES + 1)), 1e9), cluster.now)
 
 
-def test_after_a_failed_write_a_member_says_nothing_and_answers_what_waits():
-    town = Town()
-    town.wait(2)
-    member = town.members["a"]
-    member.submit(Request(1, "c", "k", None, 1e9), town.now)
-    assert [one.outcome for one in member.fail("disk full")] == [Outcome.UNKNOWN]
-    assert member.tick(town.now + 9) == [] and not member.may_vote()
+def test_member_sends_nothing_after_a_failed_write_and_answers_open_requests():
+    cluster = Cluster()
+    cluster.wait(2)
+    member = cluster.members["a"]
+    member.submit(Request(1, "c", "k", None, 1e9), cluster.now)
+    assert [response.outcome for response in member.fail("disk full")] == [Outcome.UNKNOWN]
+    assert member.tick(cluster.now + 9) == [] and not member.may_vote()
 
 
-def test_another_cluster_is_not_heard():
-    town = Town()
-    town.wait(2)
+def test_packets_from_another_cluster_are_ignored():
+    cluster = Cluster()
+    cluster.wait(2)
     stranger = Member(Identity("b", 1), "other", ("a", "b", "c"), {}, 9, half)
-    packets = [one.packet for one in stranger.begin(0.0) if type(one) is Send]
-    assert packets and [town.members["a"].receive(packet, town.now) for packet in packets] == [[]] * len(
-        packets
-    )
+    packets = [effect.packet for effect in stranger.begin(0.0) if type(effect) is Send]
+    assert packets and [cluster.members["a"].receive(packet, cluster.now) for packet in packets] == [
+        []
+    ] * len(packets)
 
 
 @pytest.mark.parametrize(
-    "said, expected",
+    "received, expected",
     [
         (ReplicaVersion("c", 1, 2, 20, 5, 7), (staleness.Freshness.KNOWN, 7)),
         (ReplicaVersion("c", 1, 2, 20, 5, 9), (staleness.Freshness.NEWER, 9)),
         (ReplicaVersion("c", 1, 3, 30, 8, 9), (staleness.Freshness.NEWER, 9)),
-        (
-            ReplicaVersion("c", 1, 3, 30, 6, 9),
-            (staleness.Freshness.STALE, 7),
-        ),  # born before writes that were seen
-        (
-            ReplicaVersion("c", 1, 2, 30, 8, 9),
-            (staleness.Freshness.STALE, 7),
-        ),  # a second process in the same life
+        # started with fewer writes than were seen
+        (ReplicaVersion("c", 1, 3, 30, 6, 9), (staleness.Freshness.STALE, 7)),
+        # a second process in the same life
+        (ReplicaVersion("c", 1, 2, 30, 8, 9), (staleness.Freshness.STALE, 7)),
         (ReplicaVersion("c", 1, 1, 10, 0, 5), (staleness.Freshness.STALE, 7)),
     ],
 )
-def test_what_a_mark_shows(said, expected):
-    shown, newest = staleness.check_freshness(ReplicaVersion("c", 1, 2, 20, 5, 7), said)
-    assert (shown, newest.writes) == expected
+def test_freshness_of_a_received_version(received, expected):
+    freshness, newest = staleness.check_freshness(ReplicaVersion("c", 1, 2, 20, 5, 7), received)
+    assert (freshness, newest.writes) == expected
 
 
-def test_word_of_an_earlier_life_proves_nothing_against_this_one():
-    mine = ReplicaVersion("c", 1, 3, 30, 8, 9)
-    assert not staleness.is_outdated(mine, ReplicaVersion("c", 1, 2, 20, 5, 8))
-    assert staleness.is_outdated(mine, ReplicaVersion("c", 1, 2, 20, 5, 9)) and staleness.is_outdated(
-        mine, ReplicaVersion("c", 1, 3, 31, 8, 8)
+def test_delayed_report_about_an_earlier_life_does_not_prove_an_older_copy():
+    own = ReplicaVersion("c", 1, 3, 30, 8, 9)
+    assert not staleness.is_outdated(own, ReplicaVersion("c", 1, 2, 20, 5, 8))
+    assert staleness.is_outdated(own, ReplicaVersion("c", 1, 2, 20, 5, 9)) and staleness.is_outdated(
+        own, ReplicaVersion("c", 1, 3, 31, 8, 8)
     )
 
 
-def test_a_change_is_known_by_its_id_while_remembered():
+def test_repeated_change_is_recognized_by_its_id_while_remembered():
     value = Value()
     for version in range(40):
         value = apply_change(value, Change(f"w{version}", version, b""))[1]
@@ -291,19 +308,19 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, says",
+    "old, new, message",
     [
         ("x", Identity("d", 1), "x is not a member of the council: a, b"),
-        ("a", Identity("b", 9), "b is a member of the council already"),
+        ("a", Identity("b", 9), "b is already a member of the council"),
         ("a", Identity("a", 1), "a is the same member: nothing to replace"),
     ],
 )
-def test_a_replacement_that_cannot_be_is_refused(old, new, says):
-    with pytest.raises(InvalidRequestError, match=says):
+def test_impossible_replacement_is_rejected(old, new, message):
+    with pytest.raises(InvalidRequestError, match=message):
         reconfiguration.replace_member(Roster(1, (Identity("a", 1), Identity("b", 2))), old, new)
 
 
-def test_histories_that_no_one_register_gives_are_found():
+def test_histories_that_are_not_linearizable_are_found():
     one, two = Change("a", 0, b"1"), Change("b", 0, b"2")
     made = Value(1, b"1", ("a",))
     assert not linearizable(
@@ -316,25 +333,25 @@
     assert not linearizable((Op(one, 0, 1, Outcome.CONFLICT, made),))
 
 
-EXHAUSTED = {
-    "one alone": Case(1, (writer(1, "a"), reader(2, "a"), writer(3, "a", 1)), Budget(crashes=1)),
-    "two, write and read, a loss": Case(2, (writer(1, "a"), reader(2, "b")), Budget(drops=1)),
-    "two, one doubled": Case(2, (writer(1, "a"), reader(2, "b")), Budget(doubles=1)),
+EXHAUSTIVE_CASES = {
+    "one member": Case(1, (writer(1, "a"), reader(2, "a"), writer(3, "a", 1)), Budget(crashes=1)),
+    "two members, write and read, one loss": Case(2, (writer(1, "a"), reader(2, "b")), Budget(drops=1)),
+    "two members, one duplicate": Case(2, (writer(1, "a"), reader(2, "b")), Budget(doubles=1)),
 }
 
 
-@pytest.mark.parametrize("case", EXHAUSTED.values(), ids=EXHAUSTED)
-def test_no_order_of_a_small_case_breaks_a_rule(case):
+@pytest.mark.parametrize("case", EXHAUSTIVE_CASES.values(), ids=EXHAUSTIVE_CASES)
+def test_no_schedule_of_a_small_case_breaks_a_rule(case):
     found = exhaust(case, 30000)
     assert found.whole and not found.broken and found.answered, found
 
 
-WANDERED = {
-    "losses, doubles, crashes": faulty.LOSSY,
+RANDOM_CASES = {
+    "losses, duplicates, crashes": faulty.LOSSY,
     "older copies": faulty.COPIED,
-    "a move": faulty.MOVING,
+    "a reconfiguration": faulty.MOVING,
     "five members": Case(5, (*faulty.TWO_WRITE, writer(6, "e", 1)), Budget(4, 2, 2, 10)),
-    "two moves of one epoch": Case(
+    "two reconfigurations of one epoch": Case(
         3,
         (replacing(1, "a", 3, "c", "d"), replacing(2, "b", 3, "a", "e"), writer(3, "b"), reader(4, "a")),
         Budget(3, 1, 1, 30),
@@ -343,13 +360,13 @@
 }
 
 
-@pytest.mark.parametrize("case", WANDERED.values(), ids=WANDERED)
-def test_no_random_order_breaks_a_rule(case):
+@pytest.mark.parametrize("case", RANDOM_CASES.values(), ids=RANDOM_CASES)
+def test_no_random_schedule_breaks_a_rule(case):
     found = [wander(case, seed, 200) for seed in range(60)]
     assert not [one.broken for one in found if one.broken]
     assert sum(one.answered for one in found) > 2
 
 
 @pytest.mark.parametrize("fault", faulty.DELIBERATE, ids=lambda fault: fault.name)
-def test_each_guard_taken_out_is_found(fault):
+def test_each_removed_safeguard_is_detected(fault):
     assert faulty.hunt(fault, range(2500), 200).broken
