--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -215,12 +215,8 @@
 @pytest.mark.parametrize(
     "offering,script,verdict,launches",
     [
-        (
-            "feed",
-            replies(lambda task: release(task, 34, "nc")),
-            "answer",
-            2,
-        ),  # the host is full: it never ran
+        # The host is full, so the job never ran.
+        ("feed", replies(lambda task: release(task, 34, "nc")), "answer", 2),
         ("feed", replies(lambda task: release(task, 102)), "answer", 2),  # it was never sent
         ("feed", replies(lambda task: release(task, 47)), 47, 1),
         ("feed", replies(lambda task: release(task, 41)), 47, 1),
@@ -456,9 +452,8 @@
 
 @pytest.mark.parametrize("data", BAD, ids=range(len(BAD)))
 async def test_invalid_client_is_refused_in_time_without_effect_on_others(tmp_path, log, data):
-    script = (
-        ignores(Type.SETUP) if A.encode() in data else None
-    )  # job A is unanswered when its id is repeated
+    # Where the id of job A is repeated, A is still unanswered.
+    script = ignores(Type.SETUP) if A.encode() in data else None
     async with platform_cluster(tmp_path, log, {"h1": Host(script)}) as g:
         owner = await g.client()
         await owner.setup(A, "feed")
--- a/tests/test_races.py
+++ b/tests/test_races.py
@@ -390,9 +390,8 @@
         monkeypatch.setattr(Link, "close", slow_close)
         await owner.stream.aclose()
         await g.wait_until(2, lambda: not g.service.engine.unanswered)
-        assert (
-            g.service.owners.closing == 1 and g.service.descriptors.owners == 1
-        )  # its descriptor is still open
+        # Its descriptor is still open.
+        assert g.service.owners.closing == 1 and g.service.descriptors.owners == 1
         may_close.set()
         await g.wait_until(2, lambda: not g.service.descriptors.owners)
 
@@ -539,9 +538,8 @@
             notify()
 
         descriptors.notify = record
-        idle = [
-            raw_owner(g.address) for _ in range(150)
-        ]  # in the backlog, since the loop does not run meanwhile
+        # All are in the backlog, since the loop does not run meanwhile.
+        idle = [raw_owner(g.address) for _ in range(150)]
         await g.wait_until(2, lambda: descriptors.owners >= descriptors.budget // 2)
         g.bus.publish(g.server_entry("h1", "DRAINING"))
         for number in range(12):  # accepted although idle ones are before them
@@ -557,9 +555,8 @@
     assert descriptors.may_accept
     descriptors.waiting_for_host = 9  # owners beyond their share wait behind connections to hosts
     assert not descriptors.may_accept
-    descriptors.remove(
-        owners=1
-    )  # within their share they do not: unreachable hosts must not block all owners
+    # Within their share they do not wait: unreachable hosts must not block all owners.
+    descriptors.remove(owners=1)
     assert descriptors.may_accept
     descriptors.add(hosts=10)
     assert not descriptors.may_accept
@@ -602,9 +599,8 @@
     controller.put(events.LaunchesCancelled("h1", (launch.number,)))
     controller.put(events.LaunchesUnsent("h1", (launch.number,)))
     assert not any(type(one) in (effects.Answer, effects.SendLaunch) for one in controller.step(4.6))
-    controller.put(
-        events.Accepted("h1", events.LaunchId(1, launch.number), "", cancel_withdrawn=True)
-    )  # it is ended there
+    # A host that accepts after all is told to end the job.
+    controller.put(events.Accepted("h1", events.LaunchId(1, launch.number), "", cancel_withdrawn=True))
     assert [type(one) for one in controller.step(4.7)] == [effects.SendStop]
 
 
@@ -642,9 +638,8 @@
     second = Bus()
     async with platform_cluster(tmp_path, log, {"h1": Host(), "h2": Host()}) as g:
         await g.tasks.start(second.run)
-        monkeypatch.setattr(
-            inbox, "MAX_WAITING", 0
-        )  # counts as full: whatever waits for space in it keeps waiting
+        # The inbox counts as full: whatever waits for space in it keeps waiting.
+        monkeypatch.setattr(inbox, "MAX_WAITING", 0)
         g.bus.publish(g.server_entry("h2", "DRAINING"))
         await g.wait_until(2, lambda: g.service.feed.offset == 2)
         second.events = list(g.bus.events)
@@ -703,9 +698,8 @@
 
         link.link.send, g.service.owners.flush = delayed_send, counted_flush
         os.kill(os.getpid(), signal.SIGTERM)
-        os.kill(
-            os.getpid(), signal.SIGHUP
-        )  # neither a reload meanwhile nor a second SIGTERM changes anything
+        # Neither a reload meanwhile nor a second SIGTERM changes anything.
+        os.kill(os.getpid(), signal.SIGHUP)
         os.kill(os.getpid(), signal.SIGTERM)
         await owner.wait_for("release", A, 4.0)
         await g.wait_until(2, owner.closed.is_set)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -273,4 +273,5 @@
                 starts.start_soon(wait_until_ready, process)
         times.sort()
         print(f"ready after {times[0]:.1f} to {times[-1]:.1f} s, 16 on one core")
+        # Nine in ten within 10 s, and all within 30 s.
         assert len(times) == 16 and times[14] <= 10.0 and times[-1] <= 30.0
