--- a/linedeal/controller/__init__.py
+++ b/linedeal/controller/__init__.py
@@ -1,1 +1,1 @@
-"""The running controller: thin anyio tasks between sockets and the engine."""
+"""The running controller: anyio tasks that connect sockets with the engine."""
--- a/linedeal/controller/owners.py
+++ b/linedeal/controller/owners.py
@@ -1,10 +1,12 @@
-"""Which jobs are whose. Free of I/O."""
+"""Ownership of jobs by sessions. Does no I/O."""
 
 
-def qualified(proven: str, session: str) -> str:
-    """The name under which a session's jobs are kept: only links that have proven the same customer come to it.
+def qualified(customer: str, session: str) -> str:
+    """The name under which a session's jobs are stored, empty without a session.
+
+    It contains the authenticated customer, so that only links of the same customer can access the jobs.
 
     >>> qualified("school", "s1"), qualified("", "school/s1"), qualified("", "")
     ('school/s1', '/school/s1', '')
     """
-    return f"{proven}/{session}" if session else ""
+    return f"{customer}/{session}" if session else ""
--- a/linedeal/controller/runtime.py
+++ b/linedeal/controller/runtime.py
@@ -1,4 +1,4 @@
-"""One life of a controller: the loop that turns the engine and carries out its effects, and the tasks around it."""
+"""One life of a controller, from its start to its end: the engine's loop and the tasks around it."""
 
 import itertools
 import time
@@ -10,46 +10,52 @@
 from linedeal.controller.client_listener import ClientListener
 from linedeal.controller.hostlink import HostLink
 from linedeal.controller.watch import DiscoveryWatch
-from linedeal.engine import Engine
-from linedeal.engine import effects
-from linedeal.engine import events
+from linedeal.engine import Engine, effects, events
 from linedeal.interface import Mode
-from linedeal.loop import Inbox, EngineStepper
+from linedeal.loop import EngineStepper, Inbox
 from linedeal.net import Address, Net
 from linedeal.policy import Controller
 from linedeal.settings.records import Cluster
 from linedeal.state import Store, StoreError, journal_clock
 from linedeal.state.journal import FULL_AT, Journal, effects_to_persist
 
-KEEP_EVERY = 1.0  # seconds between two writes of the list
-ROOM_EVERY = 1.0  # seconds between two looks at the journal's room
-TELL_EVERY = 10.0  # seconds between two lines that sum up
-LEAVE_DUTIES = 1.0  # seconds for the council to hear, at the end, that duties are given up
+HOST_LIST_INTERVAL = 1.0  # minimum seconds between two writes of the host list
+SPACE_CHECK_INTERVAL = 1.0  # seconds between two checks of the journal's size
+STATUS_INTERVAL = 10.0  # seconds between two log lines with the status
+DUTY_RELEASE_TIMEOUT = 1.0  # seconds to release duties at the council before the end
+FLUSH_DELAY = 0.05  # seconds before the end for the last answers to be sent
 
 
 class HaltedError(Exception):
-    """This life has to end; its text says why."""
+    """This life of the controller has to end. The message has the reason."""
 
 
 @dataclass(frozen=True, slots=True)
 class Setup:
+    """What a controller is started with."""
+
     name: str
     cluster: Cluster
     listen: Address
     discovery: Address
     seed: int
-    council_seat: Address | None = (
-        None  # where it listens as a member of the council; None: at the file's address
-    )
-    council_token: str = ""  # shown to the council's members
+    # address on which it listens as a member of the council; None: the address in the cluster file
+    council_listen: Address | None = None
+    council_token: str = ""  # key shown to the council's members
 
 
 class Runtime:
+    """Runs one controller: the engine, the links to clients, hosts and discovery, and the journal."""
+
     def __init__(self, setup: Setup, store: Store, net: Net, log, policy=Controller):
+        """Begins a new life in `store` and opens the journal. `policy` is the class of the decision module.
+
+        Raises StoreError.
+        """
         self.setup, self.store, self.net = setup, store, net
-        self.life = store.next_life()  # on disk before anything of this life can be sent
-        kept = setup.cluster.journal
-        self.journal = Journal(store, kept.power, kept.most, kept.spare)
+        self.life = store.next_life()  # on disk before this life sends anything
+        settings = setup.cluster.journal
+        self.journal = Journal(store, settings.power, settings.most, settings.spare)
         self.clock = journal_clock.resume(
             store.load_clock(),
             journal_clock.current_boot_id(),
@@ -58,17 +64,20 @@
             self.journal.last_written(),
         )
         store.save_clock(self.clock.base)
-        self.disk = anyio.Lock()  # one connection: one transaction at a time
+        self.disk_lock = anyio.Lock()  # the database has one connection, with one transaction at a time
         self.log = log.bind(controller=setup.name, life=self.life)
         self.policy = policy
         self.links: dict[str, HostLink] = {}
-        self.kept: dict[str, events.ListedHost] = {}
-        self.dirty = anyio.Event()
-        self.leaving = anyio.Event()
-        self.office = None  # its part in the fleet's duties, where there is a council
+        self.listed_hosts: dict[str, events.ListedHost] = {}
+        self.host_list_changed = anyio.Event()
+        self.shutting_down = anyio.Event()
+        self.duty_service = None  # only in a cluster with a council
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
-        """Runs until `shut_down` is called or the life has to end (HaltedError). Tells the address that clients may use."""
+        """Runs until `shut_down` is called; reports the address for clients to `task_status`.
+
+        Raises HaltedError if this life has to end, and StoreError if the journal cannot be read or written.
+        """
         now = anyio.current_time()
         self.engine = Engine(
             self.setup.cluster, self.setup.name, self.life, self.setup.seed + self.life, now, self.policy
@@ -92,67 +101,69 @@
             self.inbox,
             self.log,
         )
-        numbers = itertools.count(1)
-        self.next_link = lambda: next(numbers)
+        link_numbers = itertools.count(1)
+        self.next_link_number = lambda: next(link_numbers)
         async with anyio.create_task_group() as self.tasks:
-            self.remember()
+            self.load_host_list()
             self.recover()
             for effect in self.engine.begin():
-                self.carry(effect)
+                self.execute(effect)
             self.tasks.start_soon(self.watch.run)
-            self.tasks.start_soon(self.keep_list)
-            self.tasks.start_soon(self.tell)
-            self.tasks.start_soon(self.watch_room)
-            self.begin_fleet()
+            self.tasks.start_soon(self.save_host_list)
+            self.tasks.start_soon(self.log_status)
+            self.tasks.start_soon(self.monitor_journal)
+            self.start_fleet_services()
             address = await self.tasks.start(self.client_listener.run, self.setup.listen)
             self.log.info("takes jobs", address=f"{address[0]}:{address[1]}")
             task_status.started(address)
-            await self.turn_until_left()
-            if self.office is not None:
-                await self.office.leave(LEAVE_DUTIES)
+            await self.run_engine()
+            if self.duty_service is not None:
+                await self.duty_service.leave(DUTY_RELEASE_TIMEOUT)
             self.tasks.cancel_scope.cancel()
         self.store.close()
 
-    def begin_fleet(self) -> None:
-        """The controller's part in work on behalf of the fleet, where the cluster file has a council. Tasks of their
-        own with faults of their own: a job's way knows nothing of them."""
+    def start_fleet_services(self) -> None:
+        """Starts the council member and the duty service, if the cluster file has a council.
+
+        They run in isolated tasks: their failures do not affect the scheduling of jobs.
+        """
         council = self.setup.cluster.council
         if not council.members:
             return
-        # only now: what runs without a council loads none of it
+        # imported here, so that controllers without a council do not load it
         from linedeal.fleet.apart import run_apart
         from linedeal.fleet.office import Office
         from linedeal.fleet.service import Council
 
         if self.setup.name in council.places:
-            seat = self.setup.council_seat or council.places[self.setup.name]
+            address = self.setup.council_listen or council.places[self.setup.name]
             member = Council(
                 council,
                 self.setup.name,
                 self.store.path.parent,
-                seat,
+                address,
                 self.setup.council_token,
                 self.net,
                 self.log,
                 hosts=self.hosts_now,
             )
             self.tasks.start_soon(run_apart, "council", member.run, self.log)
-        self.office = Office(
+        self.duty_service = Office(
             council,
             self.setup.name,
             self.life,
             self.setup.council_token,
             self.net,
-            self.sees,
+            self.status,
             self.log,
             self.setup.cluster.campaign,
             self.hosts_now,
         )
-        self.tasks.start_soon(run_apart, "duties", self.office.run, self.log)
+        self.tasks.start_soon(run_apart, "duties", self.duty_service.run, self.log)
 
     def hosts_now(self):
-        """For the fleet's duties: the hosts by the list, and how old that is."""
-        from linedeal.duties.campaign import Mode as Stands
+        """The hosts of the last host list and its age in seconds, for the fleet's duties."""
+        from linedeal.duties.campaign import Mode as CampaignMode
         from linedeal.fleet.hosts import HostNow, HostsNow
 
         now = anyio.current_time()
@@ -162,18 +173,18 @@
                     record.listed.kind,
                     record.listed.zone,
                     record.listed.cell,
-                    Stands[MODES[record.listed.mode]],
+                    CampaignMode[CAMPAIGN_MODES[record.listed.mode]],
                     record.listed.boot,
                     now - record.booted,
                     next(iter(record.listed.addresses), ""),
                 )
                 for record in self.engine.fleet.hosts.values()
             },
-            now - self.watch.heard_at,
+            now - self.watch.received_at,
         )
 
-    def sees(self) -> tuple[dict[str, float], dict[str, float]]:
-        """Sums since its start, and how it stands now, for the log and the census."""
+    def status(self) -> tuple[dict[str, float], dict[str, float]]:
+        """Counters since the start, and current values, for the log and the census."""
         return (
             {name: value for name, value in self.engine.counts.items() if value},
             {
@@ -186,75 +197,87 @@
         )
 
     def shut_down(self) -> None:
-        """Take nothing new, answer what is held, and end; at the latest after `limits.leave` seconds."""
+        """Stops accepting clients, and ends when all jobs are answered or after `limits.leave` seconds."""
         self.client_listener.closing = True
-        self.leaving.set()
+        self.shutting_down.set()
         self.inbox.arrived.set()
 
-    def remember(self) -> None:
+    def load_host_list(self) -> None:
+        """Passes the last stored host list to the engine."""
         version, hosts = self.store.load_host_list(self.journal_time())
         if hosts:
             self.log.info("starts from the list kept last", hosts=len(hosts), version=version)
             self.engine.put(events.HostListReceived(hosts, True, version, remembered=True))
 
     def recover(self) -> None:
-        longest = max(offering.expiry for offering in self.setup.cluster.settings.offerings.values())
-        found = self.journal.read(self.journal_time(), longest, self.clock.doubt)
+        """Passes the jobs of earlier lives from the journal to the engine. Raises StoreError."""
+        max_wait = max(offering.expiry for offering in self.setup.cluster.settings.offerings.values())
+        contents = self.journal.read(self.journal_time(), max_wait, self.clock.doubt)
         if self.clock.doubt:
-            self.log.warning("the time of day was set back: no window of an earlier life is believed")
-        if found.open or found.answers:
-            self.log.info("journal read", owed=len(found.open), answers=len(found.answers))
-        self.engine.recover(found.open, found.answers)
+            self.log.warning("the time of day was set back: windows of earlier lives count as over")
+        if contents.open or contents.answers:
+            self.log.info("journal read", owed=len(contents.open), answers=len(contents.answers))
+        self.engine.recover(contents.open, contents.answers)
 
     async def persist(self, emitted: list) -> None:
-        """Where each commit is flushed a thread waits for the disk. Without, a commit takes less than a thread's hop,
-        which costs up to one switch of the interpreter each way."""
+        """Writes effects to the journal. Raises StoreError.
+
+        If each commit is flushed, a thread waits for the disk. Otherwise a commit takes less time than
+        handing it to a thread, which costs up to one interpreter switch interval each way.
+        """
         if self.setup.cluster.journal.power:
             await self.on_disk(self.journal.write, self.journal_time(), self.life, emitted)
         else:
-            async with self.disk:
+            async with self.disk_lock:
                 self.journal.write(self.journal_time(), self.life, emitted)
         if self.journal.full:
-            self.mind_room(True)
+            self.set_journal_full(True)
 
-    async def watch_room(self) -> None:
+    async def monitor_journal(self) -> None:
+        """Checks periodically whether the journal is full. Runs until cancelled."""
         while True:
-            self.mind_room(await self.on_disk(self.journal.look))
-            self.engine.journal_usage = self.journal.in_use, int(self.journal.max_bytes * FULL_AT)
-            await anyio.sleep(ROOM_EVERY)
+            self.set_journal_full(await self.on_disk(self.journal.check_space))
+            self.engine.journal_usage = self.journal.last_bytes_in_use, int(self.journal.max_bytes * FULL_AT)
+            await anyio.sleep(SPACE_CHECK_INTERVAL)
 
-    def mind_room(self, full: bool) -> None:
+    def set_journal_full(self, full: bool) -> None:
+        """Tells the engine whether the journal is full, and logs changes."""
         if full != self.engine.journal_full:
             self.engine.journal_full = full
             if full:
                 self.log.error(
                     "journal is full: sessions' jobs are turned away",
-                    used=self.journal.used(),
+                    used=self.journal.bytes_in_use(),
                     most=self.journal.max_bytes,
                 )
             else:
-                self.log.info("journal has room again", used=self.journal.used())
+                self.log.info("journal has room again", used=self.journal.bytes_in_use())
 
-    async def turn_until_left(self) -> None:
-        ends = float("inf")
+    async def run_engine(self) -> None:
+        """Runs engine steps and executes their effects until the shutdown is complete."""
+        ends_at = float("inf")
         while True:
             emitted = self.stepper.step()
-            keep = effects_to_persist(emitted)
-            if keep:  # on disk before any of it shows: the turn's jobs share the flush, the next turn gathers meanwhile
-                await self.persist(keep)
+            to_persist = effects_to_persist(emitted)
+            # on disk before any effect is visible. All jobs of the step share one flush, and events that
+            # arrive meanwhile are handled by the next step.
+            if to_persist:
+                await self.persist(to_persist)
             for effect in emitted:
-                self.carry(effect)
-            if self.leaving.is_set():
-                ends = min(ends, anyio.current_time() + self.setup.cluster.limits.leave)
-                if not self.engine.unanswered or anyio.current_time() >= ends:
-                    await anyio.sleep(0.05)  # the last answers are on their way to the clients
+                self.execute(effect)
+            if self.shutting_down.is_set():
+                ends_at = min(ends_at, anyio.current_time() + self.setup.cluster.limits.leave)
+                if not self.engine.unanswered or anyio.current_time() >= ends_at:
+                    await anyio.sleep(FLUSH_DELAY)
                     return
-            await self.wait(min(self.engine.next_due(), ends))
+            await self.wait(min(self.engine.next_due(), ends_at))
 
     async def wait(self, until: float) -> None:
+        """Waits for an event, at most until loop time `until`, and at least for the tick."""
         await self.stepper.wait(until)
 
-    def carry(self, effect) -> None:
+    def execute(self, effect) -> None:
+        """Executes one effect of the engine. Raises HaltedError."""
         kind = type(effect)
         if kind in LINK_EFFECTS:
             link = self.links.get(effect.host)
@@ -265,29 +288,30 @@
         elif kind in CLIENT_EFFECTS:
             self.client_listener.send(effect.client, effect)
         elif kind is effects.AddHost:
-            self.know(effect.host)
+            self.update_host(effect.host)
         elif kind is effects.RemoveHost:
             link = self.links.pop(effect.host, None)
             if link is not None:
                 link.cancel()
         elif kind is effects.Watch:
-            self.watch.ask()
+            self.watch.request()
         elif kind is effects.LogMessage:
             getattr(self.log, effect.level)(effect.event, **dict(effect.fields))
-        elif kind in ONLY_KEPT:
-            pass  # the journal has them
+        elif kind in JOURNAL_EFFECTS:
+            pass  # already written by `persist`
         elif kind is effects.Halt:
             raise HaltedError(effect.reason)
         else:
-            raise TypeError(f"nothing carries out {effect!r}")
+            raise TypeError(f"unknown effect {effect!r}")
 
     # -- hosts
 
-    def know(self, listed: events.ListedHost) -> None:
+    def update_host(self, listed: events.ListedHost) -> None:
+        """Creates or updates the link of a listed host."""
         link = self.links.get(listed.id)
         if listed.mode is Mode.GONE:
             if link is not None:
-                link.relist(listed)  # what waits for it goes back
+                link.update_host(listed)  # returns queued launches to the engine
             return
         if link is None:
             link = self.links[listed.id] = HostLink(
@@ -297,60 +321,70 @@
                 self.net,
                 self.setup.cluster.limits,
                 self.inbox,
-                self.next_link,
+                self.next_link_number,
                 self.log,
             )
-            self.tasks.start_soon(link.run_until_dropped)
-        link.relist(listed)
-        old = self.kept.get(listed.id)
-        self.kept[listed.id] = listed
-        if old is None or replace(old, age=0.0, free_cores=None, free_memory=None) != replace(
+            self.tasks.start_soon(link.run_until_cancelled)
+        link.update_host(listed)
+        previous = self.listed_hosts.get(listed.id)
+        self.listed_hosts[listed.id] = listed
+        if previous is None or replace(previous, age=0.0, free_cores=None, free_memory=None) != replace(
             listed, age=0.0, free_cores=None, free_memory=None
         ):
-            self.dirty.set()
+            self.host_list_changed.set()
+
+    async def save_host_list(self) -> None:
+        """Stores the host list when hosts are added, removed or changed. Runs until cancelled.
 
-    async def keep_list(self) -> None:
-        """Writes the list when hosts have come, gone or changed; figures of room alone are not worth a write."""
+        Changes of free capacity alone are not stored.
+        """
         while True:
-            await self.dirty.wait()
-            self.dirty = anyio.Event()
+            await self.host_list_changed.wait()
+            self.host_list_changed = anyio.Event()
             hosts = tuple(
-                host for host in self.kept.values() if host.id in self.links and host.mode is not Mode.GONE
+                host
+                for host in self.listed_hosts.values()
+                if host.id in self.links and host.mode is not Mode.GONE
             )
             try:
                 await self.on_disk(self.store.save_host_list, self.journal_time(), self.watch.version, hosts)
-            except StoreError as error:  # the former list stays; jobs do not wait for a disk
+            except StoreError as error:
+                # the previous list stays in use; jobs do not depend on the disk
                 self.log.error("list not kept", reason=str(error))
-            await anyio.sleep(KEEP_EVERY)
+            await anyio.sleep(HOST_LIST_INTERVAL)
 
-    # a day on a mock clock replaces these two: a thread or the machine's clock would make each run another
+    # Runs on a mock clock override these two: threads and the machine's clock would make them irreproducible.
 
     async def on_disk(self, call, *args):
-        async with self.disk:
+        """Calls a function that accesses the disk, in a thread and one at a time."""
+        async with self.disk_lock:
             return await anyio.to_thread.run_sync(call, *args)
 
     def journal_time(self) -> float:
+        """The current time of the journal's clock, in seconds."""
         return self.clock.at(journal_clock.monotonic())
 
-    async def tell(self) -> None:
+    async def log_status(self) -> None:
+        """Logs the status periodically. Runs until cancelled."""
         while True:
-            await anyio.sleep(TELL_EVERY)
-            sums, stands = self.sees()
+            await anyio.sleep(STATUS_INTERVAL)
+            counters, current = self.status()
             self.log.info(
-                "at work", **stands, **{name.replace(" ", "_"): value for name, value in sums.items()}
+                "at work", **current, **{name.replace(" ", "_"): value for name, value in counters.items()}
             )
 
 
+# the method of a link that executes an effect, by its class
 LINK_EFFECTS = {
     effects.OpenLink: lambda link, effect: link.open(),
     effects.SendLaunch: HostLink.launch,
-    effects.WithholdLaunch: lambda link, effect: link.keep_back(effect.number),
+    effects.WithholdLaunch: lambda link, effect: link.withhold(effect.number),
     effects.SendStop: HostLink.stop,
-    effects.SendEndSeen: HostLink.tell,
+    effects.SendEndSeen: HostLink.send_if_up,
     effects.SendProbe: HostLink.probe,
 }
-MODES = {Mode.SERVING: "SERVES", Mode.DRAINING: "DRAINS", Mode.GONE: "GONE"}
-ONLY_KEPT = (effects.RecordNotRun, effects.DeleteRecord, effects.RecordHold, effects.RecordProgress)
+CAMPAIGN_MODES = {Mode.SERVING: "SERVES", Mode.DRAINING: "DRAINS", Mode.GONE: "GONE"}
+JOURNAL_EFFECTS = (effects.RecordNotRun, effects.DeleteRecord, effects.RecordHold, effects.RecordProgress)
 CLIENT_EFFECTS = (
     effects.AcceptJob,
     effects.DeclineJob,
--- a/linedeal/controller/translate.py
+++ b/linedeal/controller/translate.py
@@ -1,21 +1,21 @@
-"""The protocol's messages to the engine's events, and its effects to messages. Decides nothing."""
+"""Converts protocol messages to engine events, and engine effects to messages. Makes no decisions."""
 
 from google.protobuf.message import DecodeError
 
 from linedeal import interface as api
-from linedeal.engine import effects
-from linedeal.engine import events
+from linedeal.engine import effects, events
 from linedeal.engine.control import Fault, OrderKind
 from linedeal.net import LinkLostError
 from linedeal.protocol import pb
 
+MAX_TEXT_CHARS = 200  # of a text from a peer that is logged or passed on
 RESULTS = {
     pb.DONE: api.Result.DONE,
     pb.ERROR: api.Result.ERROR,
     pb.LOST: api.Result.CUT,
     pb.STOPPED: api.Result.STOPPED,
 }
-WHYS = {
+REASONS = {
     pb.NO_CORES: api.Reason.CORES,
     pb.NO_MEMORY: api.Reason.MEMORY,
     pb.QUEUE_FULL: api.Reason.QUEUE,
@@ -42,14 +42,17 @@
 
 
 def launch_id(message) -> events.LaunchId:
+    """The ID in a message, without the controller's name."""
     return events.LaunchId(message.life, message.number)
 
 
 def job_of(spec) -> api.Job:
+    """The job in a message; its expiry is not part of it and is 0."""
     return api.Job(spec.id, spec.offering, spec.customer, spec.service, spec.cores, spec.memory, 0.0)
 
 
 def spec_of(job: api.Job, work: bytes = b"") -> pb.JobSpec:
+    """The message that describes a job."""
     return pb.JobSpec(
         id=job.id,
         offering=job.offering,
@@ -62,7 +65,7 @@
 
 
 def ran_of(message) -> events.Ran | None:
-    """How a run ended, where the host told it."""
+    """How a run ended; None if the host did not report it."""
     if not message.HasField("ran"):
         return None
     ran = message.ran
@@ -71,18 +74,20 @@
     )
 
 
-def held(item) -> events.HeldLaunch:
+def held_launch(item) -> events.HeldLaunch:
+    """A launch that a host reports when a link is established."""
     return events.HeldLaunch(
         launch_id(item.launch),
         job_of(item.job),
         PHASES.get(item.phase, events.Phase.ACCEPTED),
         RESULTS.get(item.outcome, api.Result.ERROR),
-        WHYS.get(item.reason, api.Reason.UNTOLD),
+        REASONS.get(item.reason, api.Reason.UNTOLD),
         ran_of(item),
     )
 
 
-def listed(entry) -> events.ListedHost:
+def listed_host(entry) -> events.ListedHost:
+    """An entry of the host list. A host with an unknown mode counts as draining and gets no launches."""
     return events.ListedHost(
         entry.id,
         tuple(entry.addresses),
@@ -97,8 +102,8 @@
     )
 
 
-def host_said(host: str, message):
-    """The event of one message on a host's link; None for one that says nothing to the engine.
+def host_event(host: str, message):
+    """The event of a message on a host's link; None for a message that the engine does not need.
 
     Raises LinkLostError for a message that no host may send.
     """
@@ -109,8 +114,8 @@
             return events.Refused(
                 host,
                 launch_id(message.launch),
-                WHYS.get(message.reason, api.Reason.UNTOLD),
-                message.detail[:200],
+                REASONS.get(message.reason, api.Reason.UNTOLD),
+                message.detail[:MAX_TEXT_CHARS],
             )
         case pb.Started():
             return events.Started(host, launch_id(message.launch))
@@ -125,7 +130,7 @@
                 host,
                 launch_id(message.launch),
                 RESULTS.get(message.outcome, api.Result.ERROR),
-                WHYS.get(message.reason, api.Reason.UNTOLD),
+                REASONS.get(message.reason, api.Reason.UNTOLD),
                 ran_of(message),
             )
         case pb.Report():
@@ -134,24 +139,25 @@
             )
         case pb.Bye():
             if message.fenced:
-                return events.Fenced(host, message.reason[:200])
-            raise LinkLostError(f"told to go: {message.reason[:200]}")
+                return events.Fenced(host, message.reason[:MAX_TEXT_CHARS])
+            raise LinkLostError(f"closed by the host: {message.reason[:MAX_TEXT_CHARS]}")
     raise LinkLostError(f"a host may not send {type(message).__name__}")
 
 
-def submitted(client: int, session: str, proven: str, message) -> events.Submitted:
+def submit_event(client: int, session: str, customer: str, message) -> events.Submitted:
+    """The event of a submitted job; `customer` is the authenticated one, empty without a key."""
     job = message.job
     return events.Submitted(
         client,
         message.key,
         job.offering,
-        job.customer or proven,
+        job.customer or customer,
         job.service,
         job.cores,
         job.memory,
         message.wait,
         session,
-        proven,
+        customer,
         job.work,
         message.follow,
         message.hold,
@@ -159,7 +165,8 @@
     )
 
 
-def standing(effect: effects.JobStatus) -> pb.Standing:
+def status_message(effect: effects.JobStatus) -> pb.Standing:
+    """The message with the status of a job."""
     ran = None
     if effect.ran is not None:
         ran = pb.Ran(
@@ -184,7 +191,7 @@
 
 
 def offerings(settings: api.Settings) -> list[pb.OfferingInfo]:
-    """What clients are told of the offerings: they need to know which may be asked for twice."""
+    """The offerings as sent to clients, which need to know the jobs that may be submitted again elsewhere."""
     return [
         pb.OfferingInfo(name=name, redoable=item.effect is api.Effect.REDOABLE, expiry=item.expiry)
         for name, item in settings.offerings.items()
@@ -192,15 +199,15 @@
 
 
 def name_of(work: bytes) -> str:
-    """The name that a job's owner gave it; the one thing in its work that is shown."""
+    """The name that its owner gave a job, the only part of the work that is shown; empty if there is none."""
     try:
-        return pb.Work.FromString(work).name[:200] if work else ""
+        return pb.Work.FromString(work).name[:MAX_TEXT_CHARS] if work else ""
     except DecodeError:
-        return ""  # it is the owner's and the host's affair, nothing here depends on it
+        return ""  # only the owner and the host interpret the work
 
 
 def message_for_client(effect):
-    """The message that an effect owes to a client."""
+    """The message that tells a client of an effect."""
     match effect:
         case effects.AcceptJob(_, key, job):
             return pb.Taken(key=key, job=job)
@@ -209,7 +216,7 @@
         case effects.Answer(_, key, job, verdict, host):
             return pb.Answer(key=key, job=job, verdict=VERDICTS[verdict], host=host)
         case effects.JobStatus():
-            return standing(effect)
+            return status_message(effect)
         case effects.StatusPageEnd(_, more):
             return pb.AllTold(more=more)
         case effects.Reply(_, key, kind, fault, reason):
--- a/linedeal/logs.py
+++ b/linedeal/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one event a line on standard error, as JSON or for people."""
+"""Structured logs on standard error, one event per line, as JSON or as readable text."""
 
 import logging
 import sys
@@ -7,7 +7,11 @@
 
 
 def setup(as_json: bool, verbose: bool) -> structlog.stdlib.BoundLogger:
-    """The program's logger. At info there is nothing for each job on the ordinary path."""
+    """Configures structlog and returns the program's logger.
+
+    `as_json` selects JSON lines, `verbose` the level DEBUG. At level INFO nothing is logged per job unless
+    something fails.
+    """
     structlog.configure(
         processors=[
             structlog.processors.add_log_level,
--- a/linedeal/processes.py
+++ b/linedeal/processes.py
@@ -1,16 +1,20 @@
-"""What the long-lived commands share: orders on standard input, signals, and one plain line for what goes wrong."""
+"""Shared by long-running commands: orders on standard input, signals, and unwrapping of exception groups."""
 
 import json
 import signal
 import sys
-from typing import Callable
+from collections.abc import Callable
 
 import anyio
 import anyio.to_thread
 
 
 async def read_orders(control: Callable[[dict], None], log) -> None:
-    """Orders as JSON lines on standard input, until it ends: then whoever started this process is gone."""
+    """Reads orders, one JSON object per line, from standard input and passes each to `control`.
+
+    Returns at the end of the input, which means that the parent process is gone. Orders that `control`
+    rejects with ValueError, TypeError or KeyError are logged and skipped.
+    """
     while True:
         line = await anyio.to_thread.run_sync(sys.stdin.readline, abandon_on_cancel=True)
         if not line:
@@ -18,24 +22,24 @@
         try:
             control(json.loads(line))
         except (ValueError, TypeError, KeyError) as error:
-            log.error("order not followed", order=line.strip()[:200], reason=str(error))
+            log.error("order failed", order=line.strip()[:200], reason=str(error))
 
 
-async def stop_on_signal(leave: Callable[[], None]) -> None:
-    """Calls `leave` at the first SIGTERM or SIGINT."""
+async def stop_on_signal(shut_down: Callable[[], None]) -> None:
+    """Calls `shut_down` at the first SIGTERM or SIGINT and returns."""
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
-            leave()
+            shut_down()
             return
 
 
 def print_address(address) -> None:
-    """The first line of a long-lived command: where it listens, for programs."""
+    """Prints the address that a command listens on, as JSON on the first line of its output."""
     print(json.dumps({"address": f"{address[0]}:{address[1]}"}), flush=True)
 
 
 def unwrap(group: BaseExceptionGroup) -> BaseException:
-    """The one failure in a task group's bundle, where it is one."""
+    """The exception inside nested groups that hold only one; otherwise the innermost group with several."""
     error: BaseException = group
     while isinstance(error, BaseExceptionGroup) and len(error.exceptions) == 1:
         error = error.exceptions[0]
--- a/linedeal/settings/__init__.py
+++ b/linedeal/settings/__init__.py
@@ -1,1 +1,1 @@
-"""What a cluster is told of itself: HCL in, frozen records out. `build` alone knows what `interface.Settings` asks."""
+"""A cluster's settings: reads HCL files into frozen records. `build` validates `interface.Settings`."""
--- a/linedeal/settings/build.py
+++ b/linedeal/settings/build.py
@@ -1,6 +1,6 @@
-"""What the decision module's `Settings` must fulfil, whoever reads them: the bench's wire or an HCL file.
+"""Validates the decision module's `Settings`, whether they come from the simulator or from an HCL file.
 
-Standard library only, since the adapter of the bench uses it too.
+Uses only the standard library, since the simulator's adapter imports it too.
 """
 
 import math
@@ -9,11 +9,11 @@
 
 
 class SettingError(Exception):
-    """Names the setting that is missing, of the wrong type or out of its range."""
+    """A setting is missing, of the wrong type or out of range. The message names it."""
 
 
 def number(value, path: str) -> float:
-    """`value` as a float, or SettingError that names `path`.
+    """`value` as a float. Raises SettingError, naming `path`, if it is missing, no number or too large.
 
     >>> number(3, "young.time")
     3.0
@@ -25,14 +25,14 @@
     try:
         value = float(value)
     except OverflowError:
-        raise SettingError(f"{path} is larger than can be reckoned with") from None
+        raise SettingError(f"{path} is too large") from None
     if math.isnan(value):
         raise SettingError(f"{path} is not a number")
     return value
 
 
 def typed(value, kind: type, path: str):
-    """`value` if it is of that type (whole numbers pass as float), or SettingError that names `path`."""
+    """`value` if it is of type `kind`; integers pass as floats. Raises SettingError, naming `path`."""
     if kind is float:
         return number(value, path)
     if value is None:
@@ -55,7 +55,7 @@
     place: api.TopologyLevel,
     most: int,
 ) -> api.Offering:
-    """An offering whose group and window fit its effect: only a labelled one has them."""
+    """An offering, with `group` and `window` only if its effect is labelled: others do not use them."""
     labelled = effect is api.Effect.LABELLED
     return api.Offering(
         name=name,
@@ -73,56 +73,56 @@
 
 
 def invalid_settings(settings: api.Settings) -> list[tuple[str, str]]:
-    """What no controller can work with, as (setting, fault), in the order of the settings; empty when sound.
+    """The settings that no controller can work with, as (setting, problem), in the order of the settings.
 
-    Wherever the settings come from: each of these would stop the module's arithmetic.
+    This applies to settings from every source: each problem would break the decision module's arithmetic.
     """
-    found = [
-        low("controllers", settings.controllers, 1),
-        low("accepts_cores", settings.accepts_cores),
-        low("accepts_memory", settings.accepts_memory),
-        low("young.offers", settings.slow_start_limit),
-        low("young.span", settings.slow_start_window),
+    problems = [
+        too_low("controllers", settings.controllers, 1),
+        too_low("accepts_cores", settings.accepts_cores),
+        too_low("accepts_memory", settings.accepts_memory),
+        too_low("young.offers", settings.slow_start_limit),
+        too_low("young.span", settings.slow_start_window),
     ]
     for name, kind in settings.kinds.items():
-        found += [low(f"kind {name}.cores", kind.cores), low(f"kind {name}.memory", kind.memory)]
-    return [fault for fault in found if fault]
+        problems += [too_low(f"kind {name}.cores", kind.cores), too_low(f"kind {name}.memory", kind.memory)]
+    return [problem for problem in problems if problem]
 
 
 def implausible_settings(settings: api.Settings) -> list[tuple[str, str]]:
-    """What an operator who writes the settings by hand cannot have meant, in the same form."""
-    found = [
-        low("max_launches", settings.max_launches, 1),
-        low("host_price", settings.host_price, 0),
-        low("ask_within", settings.subscription_timeout),
-        low("young.time", settings.slow_start_duration, 0),
+    """Settings that an operator who writes them by hand cannot have intended, as (setting, problem)."""
+    problems = [
+        too_low("max_launches", settings.max_launches, 1),
+        too_low("host_price", settings.host_price, 0),
+        too_low("ask_within", settings.subscription_timeout),
+        too_low("young.time", settings.slow_start_duration, 0),
     ]
     for name, item in settings.offerings.items():
-        found += [
-            low(f"offering {name}.expiry", item.expiry),
-            low(f"offering {name}.value", item.value, 0),
-            low(f"offering {name}.calm", item.degradation_start),
-            low(f"offering {name}.fade", item.degradation_span, 0),
+        problems += [
+            too_low(f"offering {name}.expiry", item.expiry),
+            too_low(f"offering {name}.value", item.value, 0),
+            too_low(f"offering {name}.calm", item.degradation_start),
+            too_low(f"offering {name}.fade", item.degradation_span, 0),
         ]
         if item.effect is api.Effect.LABELLED:
-            found.append(low(f"offering {name}.window", item.dedup_window))
+            problems.append(too_low(f"offering {name}.window", item.dedup_window))
             if item.dedup_level is api.TopologyLevel.NONE:
-                found.append((f"offering {name}.group", "is missing, a labelled offering needs one"))
+                problems.append((f"offering {name}.group", "is missing, a labelled offering needs one"))
         if item.spread_level is not api.TopologyLevel.NONE:
-            found.append(low(f"offering {name}.most", item.max_per_domain, 1))
+            problems.append(too_low(f"offering {name}.most", item.max_per_domain, 1))
         if item.kind is not None and item.kind not in settings.kinds:
-            found.append((f"offering {name}.kind", f"names {item.kind!r}, which is no kind"))
-    found += [low(f"customer {name}.cores", quota, 0) for name, quota in settings.quotas.items()]
-    found += [
+            problems.append((f"offering {name}.kind", f"names {item.kind!r}, which is not a kind"))
+    problems += [too_low(f"customer {name}.cores", quota, 0) for name, quota in settings.quotas.items()]
+    problems += [
         (block, "there is none")
         for block, table in (("kind", settings.kinds), ("offering", settings.offerings))
         if not table
     ]
-    return [fault for fault in found if fault]
+    return [problem for problem in problems if problem]
 
 
-def low(path: str, value: float, least: float | None = None) -> tuple[str, str] | None:
-    """The fault of a figure under `least`, or not over 0 where no least is given."""
-    if least is None:
+def too_low(path: str, value: float, minimum: float | None = None) -> tuple[str, str] | None:
+    """The problem of a value below `minimum`; without a minimum it has to be greater than 0."""
+    if minimum is None:
         return None if value > 0 else (path, f"is {value:g}, over 0 is needed")
-    return None if value >= least else (path, f"is {value:g}, at least {least:g} is needed")
+    return None if value >= minimum else (path, f"is {value:g}, at least {minimum:g} is needed")
--- a/linedeal/settings/cluster.py
+++ b/linedeal/settings/cluster.py
@@ -1,4 +1,4 @@
-"""Reads a cluster's HCL file into frozen records, and names all its faults at once."""
+"""Reads a cluster's HCL file into frozen records and reports all its problems at once."""
 
 import difflib
 import re
@@ -11,7 +11,7 @@
 from linedeal import interface as api
 from linedeal.net import parse_address
 from linedeal.settings import build
-from linedeal.settings.keys import FORM, Keys
+from linedeal.settings.keys import HASH_PATTERN, Keys
 from linedeal.settings.records import (
     Bounds,
     CampaignSettings,
@@ -27,34 +27,38 @@
     "labelled": api.Effect.LABELLED,
     "irreversible": api.Effect.IRREVERSIBLE,
 }
-PLACES = {
+TOPOLOGY_LEVELS = {
     "none": api.TopologyLevel.NONE,
     "host": api.TopologyLevel.HOST,
     "cell": api.TopologyLevel.CELL,
     "zone": api.TopologyLevel.ZONE,
     "all": api.TopologyLevel.ALL,
 }
-NEEDED = object()
-LARGEST = 1e15  # of any figure: sums and products of such stay finite, and times keep their milliseconds
-MOST = {"tick": 1.0, "work": 1_000_000}  # seconds; bytes that a frame carries beside the rest of a job
+REQUIRED = object()  # in place of a default: the key has to be set
+MAX_VALUE = 1e15  # of any number: sums and products stay finite, and times keep their milliseconds
+# limits of single keys: seconds; bytes that fit into a frame with the rest of a job
+MAX_VALUES = {"tick": 1.0, "work": 1_000_000}
+MIN_JOURNAL_BYTES = 1 << 20  # exclusive lower limit of the journal's size
 
 
 class ConfigError(Exception):
-    """`lines`: every fault found, each `file: block: fault` on one line."""
+    """A cluster file cannot be used. `lines` has one line `file: block: problem` for each problem."""
 
     def __init__(self, lines: list[str]):
+        """Takes the problems; the message is all of them, one per line."""
         super().__init__("\n".join(lines))
         self.lines = lines
 
 
 def keys_of(record) -> dict[str, tuple]:
-    """The keys of a block that is read into `record`: type and default of each field."""
+    """The keys of a block that is read into the dataclass `record`: type and default of each field."""
     return {field.name: (type(field.default), field.default) for field in fields(record)}
 
 
+# keys of each block, with type (or allowed words) and default
 BLOCKS = {
     "cluster": {
-        "controllers": (int, NEEDED),
+        "controllers": (int, REQUIRED),
         "accepts_cores": (float, 2.0),
         "accepts_memory": (float, 1.5),
         "confirms": (("accepted", "running"), "accepted"),
@@ -67,35 +71,36 @@
     "rules": keys_of(Rules),
     "limits": keys_of(Limits),
     "journal": keys_of(JournalSettings),
-    "kind": {"cores": (float, NEEDED), "memory": (float, NEEDED)},
+    "kind": {"cores": (float, REQUIRED), "memory": (float, REQUIRED)},
     "offering": {
-        "expiry": (float, NEEDED),
+        "expiry": (float, REQUIRED),
         "value": (float, 1.0),
-        "effect": (tuple(EFFECTS), NEEDED),
-        "group": (tuple(PLACES), "none"),
+        "effect": (tuple(EFFECTS), REQUIRED),
+        "group": (tuple(TOPOLOGY_LEVELS), "none"),
         "window": (float, 0.0),
         "kind": (str, None),
         "calm": (float, 1.0),
         "fade": (float, 1.0),
-        "spread": (tuple(PLACES), "none"),
+        "spread": (tuple(TOPOLOGY_LEVELS), "none"),
         "most": (int, 0),
     },
     "customer": {"cores": (float, None), "key": (str, None)},
     "clients": {"keys_needed": (bool, False)},
-    "council": {"id": (str, NEEDED), "key": (str, ""), "lease": (float, 6.0), "drift": (float, 0.05)},
-    "member": {"address": (str, NEEDED)},
-    "campaign": {"tool": (str, NEEDED), **keys_of(Bounds)},
+    "council": {"id": (str, REQUIRED), "key": (str, ""), "lease": (float, 6.0), "drift": (float, 0.05)},
+    "member": {"address": (str, REQUIRED)},
+    "campaign": {"tool": (str, REQUIRED), **keys_of(Bounds)},
 }
-NAMED = ("kind", "offering", "customer", "member")
-COUNCILS = (1, 3, 5)  # members: an even number bears no more losses than the odd one below it
+NAMED_BLOCKS = ("kind", "offering", "customer", "member")  # each of these blocks has a name
+# numbers of members: an even number tolerates no more failures than the odd number below it
+COUNCIL_SIZES = (1, 3, 5)
 
 
 def read_cluster(path: str | Path) -> Cluster:
-    """The records of a cluster file. Raises ConfigError with every fault of the file."""
+    """Reads and validates a cluster file. Raises ConfigError with every problem of the file."""
     try:
         text = Path(path).read_text(encoding="utf-8")
         cluster = parse_cluster(text, str(path))
-        # guards against a file that somebody is writing: cut between two blocks it is sound, and lacks the rest
+        # detects a file that is being written: cut off between two blocks it is valid, but incomplete
         if Path(path).is_file() and Path(path).read_text(encoding="utf-8") != text:
             raise ConfigError([f"{path}: changed while it was read"])
         return cluster
@@ -106,35 +111,35 @@
 
 
 def parse_cluster(text: str, name: str = "cluster.hcl") -> Cluster:
-    """As `read_cluster`, from text; `name` stands in the faults."""
+    """As `read_cluster`, from text; `name` is the file name in error messages. Raises ConfigError."""
     lines: list[str] = []
     blocks = {block: {} for block in BLOCKS}
 
-    def fault(block, said):
-        lines.append(f"{name}: {block}: {said}")
+    def report(block, problem):
+        lines.append(f"{name}: {block}: {problem}")
 
-    for key, value in tree(text, name).items():
+    for key, value in parse_hcl(text, name).items():
         if key not in BLOCKS or not isinstance(value, list):
-            fault(
+            report(
                 key,
                 f"unknown block{nearest(key, BLOCKS)}" if key not in BLOCKS else "is a block, not a value",
             )
             continue
         for item in value:
             label, body = "", item
-            if key in NAMED:
+            if key in NAMED_BLOCKS:
                 label, body = next(((k, v) for k, v in item.items() if not k.startswith("__")), ("", None))
                 label = unquote(label)
             where = f"{key} {label}".strip()
             if not isinstance(body, dict) or any(isinstance(value, dict) for value in body.values()):
-                fault(where, "takes one name" if key in NAMED else "takes no name")
+                report(where, "needs exactly one name" if key in NAMED_BLOCKS else "must not have a name")
             elif label in blocks[key]:
-                fault(where, "stands twice")
+                report(where, "is defined twice")
             else:
-                blocks[key][label] = values(BLOCKS[key], body, where, fault)
+                blocks[key][label] = read_values(BLOCKS[key], body, where, report)
     for key in ("cluster", "young", "rules", "limits", "journal", "clients"):
         if not blocks[key]:
-            blocks[key][""] = values(BLOCKS[key], {}, key, fault)
+            blocks[key][""] = read_values(BLOCKS[key], {}, key, report)
     if lines:
         raise ConfigError(lines)
     settings = to_settings(blocks)
@@ -146,114 +151,121 @@
     )
     for customer, item in blocks["customer"].items():
         if item["key"] is None and item["cores"] is None:
-            fault(f"customer {customer}", "cores or key is missing")
-        if item["key"] is not None and not FORM.fullmatch(item["key"]):
-            fault(f"customer {customer}", "key is no hash; `linedeal key` makes one")
+            report(f"customer {customer}", "cores or key is missing")
+        if item["key"] is not None and not HASH_PATTERN.fullmatch(item["key"]):
+            report(f"customer {customer}", "key is no hash; `linedeal key` makes one")
     for offering, item in blocks["offering"].items():
         for key, default in (("group", "none"), ("window", 0.0)):
             if item[key] != default and item["effect"] != "labelled":
-                fault(
+                report(
                     f"offering {offering}", f"{key} is for labelled offerings, this one is {item['effect']}"
                 )
         if item["most"] and item["spread"] == "none":
-            fault(f"offering {offering}", "most is for offerings with a spread")
+            report(f"offering {offering}", "most is for offerings with a spread")
     if keys.needed and not keys.hashes:
-        fault("clients", "keys_needed, and no customer has a key")
-    for where, said in build.invalid_settings(settings) + build.implausible_settings(settings):
+        report("clients", "keys_needed, and no customer has a key")
+    for where, problem in build.invalid_settings(settings) + build.implausible_settings(settings):
         block, _, key = where.rpartition(".")
-        fault(block or "cluster", f"{key} {said}")
+        report(block or "cluster", f"{key} {problem}")
     for block, record in (("limits", limits), ("rules", rules)):
         for key in record.__dataclass_fields__:
             if getattr(record, key) <= 0:
-                fault(block, f"{key} is {getattr(record, key):g}, over 0 is needed")
-    for key, least in (("answers_kept", 0), ("most", 1 << 20), ("spare", 0)):
-        if getattr(journal, key) <= least:
-            fault("journal", f"{key} is {getattr(journal, key):g}, over {least} is needed")
-    council, campaign = council_of(blocks, fault), campaign_of(blocks, fault)
+                report(block, f"{key} is {getattr(record, key):g}, over 0 is needed")
+    for key, minimum in (("answers_kept", 0), ("most", MIN_JOURNAL_BYTES), ("spare", 0)):
+        if getattr(journal, key) <= minimum:
+            report("journal", f"{key} is {getattr(journal, key):g}, over {minimum} is needed")
+    council, campaign = council_settings(blocks, report), campaign_settings(blocks, report)
     if lines:
         raise ConfigError(lines)
     return Cluster(settings, limits, rules, journal, keys, council, campaign)
 
 
-def council_of(blocks, fault) -> CouncilSettings:
-    """None named: there is no council, and work on behalf of the fleet stands still."""
+def council_settings(blocks, report) -> CouncilSettings:
+    """The settings of the council; passes problems to `report`.
+
+    Without a block `council` there is none, and no duty of the fleet has an owner.
+    """
     block, members = blocks["council"].get(""), blocks["member"]
     if block is None:
         for name in members:
-            fault(f"member {name}", "there is no block council")
+            report(f"member {name}", "there is no block council")
         return CouncilSettings()
-    if len(members) not in COUNCILS:
-        fault("council", f"{len(members)} members, {', '.join(map(str, COUNCILS))} may be")
+    if len(members) not in COUNCIL_SIZES:
+        report("council", f"{len(members)} members, {', '.join(map(str, COUNCIL_SIZES))} are allowed")
     if not re.fullmatch(r"[\w.-]{1,64}", block["id"] or ""):
-        fault("council", f"id is {block['id']!r}, 1 to 64 letters, digits, dots and dashes are needed")
-    if block["key"] and not FORM.fullmatch(block["key"]):
-        fault("council", "key is no hash; `linedeal key` makes one")
+        report("council", f"id is {block['id']!r}, 1 to 64 letters, digits, dots and dashes are needed")
+    if block["key"] and not HASH_PATTERN.fullmatch(block["key"]):
+        report("council", "key is no hash; `linedeal key` makes one")
     if not 1 <= block["lease"] <= 3600:
-        fault("council", f"lease is {block['lease']:g}, 1 to 3600 seconds may be")
+        report("council", f"lease is {block['lease']:g}, 1 to 3600 seconds are allowed")
     if not 0 <= block["drift"] <= 0.25:
-        fault("council", f"drift is {block['drift']:g}, 0 to 0.25 may be")
-    places = {}
+        report("council", f"drift is {block['drift']:g}, 0 to 0.25 is allowed")
+    addresses = {}
     for name, item in sorted(members.items()):
         try:
-            places[name] = parse_address(item["address"] or "")
+            addresses[name] = parse_address(item["address"] or "")
         except ValueError as error:
-            fault(f"member {name}", str(error))
-    for name, place in places.items():
-        if list(places.values()).count(place) > 1:
-            fault(f"member {name}", f"{members[name]['address']} is another member's too")
-    return CouncilSettings(block["id"], block["key"], block["lease"], block["drift"], places)
+            report(f"member {name}", str(error))
+    for name, address in addresses.items():
+        if list(addresses.values()).count(address) > 1:
+            report(f"member {name}", f"{members[name]['address']} is also the address of another member")
+    return CouncilSettings(block["id"], block["key"], block["lease"], block["drift"], addresses)
 
 
-def campaign_of(blocks, fault) -> CampaignSettings:
+def campaign_settings(blocks, report) -> CampaignSettings:
+    """The settings of campaigns, the defaults without a block `campaign`; passes problems to `report`."""
     block = blocks["campaign"].get("")
     if block is None:
         return CampaignSettings()
     if not blocks["council"]:
-        fault("campaign", "there is no block council: nobody could own it")
-    tool, figures = block["tool"], {key: value for key, value in block.items() if key != "tool"}
+        report("campaign", "there is no block council, so no controller could own it")
+    tool, bounds = block["tool"], {key: value for key, value in block.items() if key != "tool"}
     for key in ("most", "cells"):
-        if figures[key] < 1:
-            fault("campaign", f"{key} is {figures[key]}, 1 at least is needed")
+        if bounds[key] < 1:
+            report("campaign", f"{key} is {bounds[key]}, 1 at least is needed")
     for key in ("room", "strain"):
-        if not 0 < figures[key] <= 1:
-            fault("campaign", f"{key} is {figures[key]:g}, over 0 and up to 1 may be")
+        if not 0 < bounds[key] <= 1:
+            report("campaign", f"{key} is {bounds[key]:g}, over 0 and up to 1 is needed")
     for key in ("patience", "warm", "away"):
-        if figures[key] < 0:
-            fault("campaign", f"{key} is {figures[key]:g}, 0 at least is needed")
+        if bounds[key] < 0:
+            report("campaign", f"{key} is {bounds[key]:g}, 0 at least is needed")
     try:
-        news = max(
-            CampaignSettings().news, 1.5 * blocks["cluster"][""]["ask_within"]
-        )  # a quiet list is asked that often
-        return CampaignSettings(Bounds(**figures), parse_address(tool or ""), news)
+        # an unchanged host list is confirmed only once per ask_within, so data of that age is not outdated
+        news = max(CampaignSettings().news, 1.5 * blocks["cluster"][""]["ask_within"])
+        return CampaignSettings(Bounds(**bounds), parse_address(tool or ""), news)
     except ValueError as error:
-        fault("campaign", f"tool: {error}")
+        report("campaign", f"tool: {error}")
         return CampaignSettings()
 
 
-def tree(text, name):
+def parse_hcl(text, name):
+    """The blocks and values of an HCL text. Raises ConfigError if it is not HCL."""
     try:
-        found = hcl2.loads(text)
+        parsed = hcl2.loads(text)
     except LarkError as error:
-        line, said = getattr(error, "line", None), str(error).splitlines()[0]
+        line, problem = getattr(error, "line", None), str(error).splitlines()[0]
         raise ConfigError(
-            [f"{name}: line {line}: not HCL: {said}" if line else f"{name}: not HCL: {said}"]
+            [f"{name}: line {line}: not HCL: {problem}" if line else f"{name}: not HCL: {problem}"]
         ) from None
     except RecursionError:
         raise ConfigError([f"{name}: not HCL: nested too deep"]) from None
-    return {key: value for key, value in found.items() if not key.startswith("__")}
+    return {key: value for key, value in parsed.items() if not key.startswith("__")}
+
 
+def read_values(known, body, where, report):
+    """The values of a block, with defaults.
 
-def values(known, body, where, fault):
-    """The block's values, with defaults; what is unknown, missing or of the wrong type is told to `fault`."""
-    found = {}
+    Keys that are unknown, missing or of the wrong type are passed to `report`.
+    """
+    values = {}
     for key in body:
         if not key.startswith("__") and key not in known:
-            fault(where, f"unknown key {key}{nearest(key, known)}")
+            report(where, f"unknown key {key}{nearest(key, known)}")
     for key, (kind, default) in known.items():
         if key not in body:
-            if default is NEEDED:
-                fault(where, f"{key} is missing")
-            found[key] = default
+            if default is REQUIRED:
+                report(where, f"{key} is missing")
+            values[key] = default
             continue
         value = body[key]
         if isinstance(value, str) and re.fullmatch(r'".*"', value, re.S):
@@ -262,18 +274,19 @@
             if isinstance(kind, tuple):
                 if build.typed(value, str, key) not in kind:
                     raise build.SettingError(f"{key} is {value!r}, one of {', '.join(kind)} is needed")
-                found[key] = value
+                values[key] = value
             else:
-                found[key] = build.typed(value, kind, key)
-                most = MOST.get(key, LARGEST)
-                if isinstance(found[key], (int, float)) and not -most <= found[key] <= most:
-                    raise build.SettingError(f"{key} is out of all measure, at most {most:g} is taken")
+                values[key] = build.typed(value, kind, key)
+                limit = MAX_VALUES.get(key, MAX_VALUE)
+                if isinstance(values[key], (int, float)) and not -limit <= values[key] <= limit:
+                    raise build.SettingError(f"{key} is too large, at most {limit:g} is allowed")
         except build.SettingError as error:
-            fault(where, str(error))
-    return found
+            report(where, str(error))
+    return values
 
 
 def to_settings(blocks) -> api.Settings:
+    """The decision module's settings from the values of all blocks."""
     cluster, young = blocks["cluster"][""], blocks["young"][""]
     return api.Settings(
         controllers=cluster["controllers"],
@@ -283,12 +296,12 @@
                 item["expiry"],
                 item["value"],
                 EFFECTS[item["effect"]],
-                PLACES[item["group"]],
+                TOPOLOGY_LEVELS[item["group"]],
                 item["window"],
                 item["kind"],
                 item["calm"],
                 item["fade"],
-                PLACES[item["spread"]],
+                TOPOLOGY_LEVELS[item["spread"]],
                 item["most"],
             )
             for name, item in blocks["offering"].items()
@@ -312,9 +325,11 @@
 
 
 def unquote(text: str) -> str:
+    """The text without surrounding double quotes."""
     return text[1:-1] if len(text) > 1 and text[0] == text[-1] == '"' else text
 
 
 def nearest(key, known) -> str:
+    """An addition to an error message that names the most similar known word, if there is one."""
     close = difflib.get_close_matches(key, known, n=1, cutoff=0.5)
     return f", the nearest known is {close[0]}" if close else ""
--- a/linedeal/settings/keys.py
+++ b/linedeal/settings/keys.py
@@ -1,24 +1,26 @@
-"""Who may submit: one key a customer, kept as its hash. Free of I/O."""
+"""Authentication of customers by one key each, of which only the hash is configured. Does no I/O."""
 
 import hashlib
 import hmac
 import re
 from dataclasses import dataclass, field
 
-COUNCIL = "council"  # stands for the customer whose key is checked
-FORM = re.compile(r"sha256:[0-9a-f]{64}")
+COUNCIL = "council"  # customer name under which the council's key is checked
+HASH_PATTERN = re.compile(r"sha256:[0-9a-f]{64}")
 
 
 @dataclass(frozen=True, slots=True)
 class Keys:
-    """`hashes`: sha256 of each customer's key, in the form that `hash_of` gives. `needed`: no link without one."""
+    """Hashes of the customers' keys, as returned by `hash_of`. With `needed` every link has to show a key."""
 
     hashes: dict[str, str] = field(default_factory=dict)
     needed: bool = False
 
 
 def hash_of(token: str) -> str:
-    """What stands in the cluster file for a key. Keys are long random texts, so a plain hash gives nothing away.
+    """The hash of a key, as written in the cluster file.
+
+    A plain hash is enough, since keys are long random texts.
 
     >>> hash_of("x")[:18]
     'sha256:2d711642b72'
@@ -26,22 +28,23 @@
     return "sha256:" + hashlib.sha256(token.encode()).hexdigest()
 
 
-NOBODY = hash_of("")
+UNKNOWN_CUSTOMER_HASH = hash_of("")  # compared for customers without a key
 
 
 class AuthenticationError(Exception):
-    """Its text is what the client is told: never whether the customer exists."""
+    """The key is missing or wrong. The message goes to the client and hides whether the customer exists."""
 
 
 def admit(keys: Keys, customer: str, token: str) -> str:
-    """The customer that this token proves, empty for a link without one. Raises AuthenticationError.
+    """The customer authenticated by `token`, empty for a link without one. Raises AuthenticationError.
 
-    The same comparison is made whether or not the customer is known, in a time that does not depend on where the
-    texts differ.
+    The same constant-time comparison is made whether or not the customer is known.
     """
-    same = hmac.compare_digest(keys.hashes.get(customer, NOBODY).encode(), hash_of(token).encode())
+    matches = hmac.compare_digest(
+        keys.hashes.get(customer, UNKNOWN_CUSTOMER_HASH).encode(), hash_of(token).encode()
+    )
     if customer in keys.hashes:
-        if not same or not token:
+        if not matches or not token:
             raise AuthenticationError("customer and key do not fit")
         return customer
     if token or keys.needed:
@@ -52,7 +55,7 @@
 
 
 def council_refuses(council, session: str, token: str) -> str:
-    """Why whoever says hello with this council's id and key may not speak on its behalf; empty where it may."""
+    """Why a peer with this council ID and key is refused; empty if it is admitted."""
     if session != council.id:
         return f"this is council {council.id}, not {session[:64]}"
     keys = Keys({COUNCIL: council.key}, True) if council.key else Keys()
--- a/linedeal/settings/records.py
+++ b/linedeal/settings/records.py
@@ -1,4 +1,4 @@
-"""What a controller is told of its cluster, as frozen records; who reads them from which file is another matter."""
+"""A cluster's settings as frozen records, independent of the file that they are read from."""
 
 from dataclasses import dataclass, field
 
@@ -8,78 +8,82 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of one controller: counts, bytes and seconds."""
+    """Limits of one controller: counts, bytes and seconds. The fields are keys of the block `limits`."""
 
-    tick: float = 0.002  # seconds between two turns of the engine, at least
-    held: int = 20000  # jobs taken and not yet answered
+    tick: float = 0.002  # minimum seconds between two engine steps
+    held: int = 20000  # accepted jobs without an answer
     clients: int = 500  # links from clients
-    client_bytes: int = 262144  # waiting to be read by one client
-    client_idle: float = 300.0  # seconds without a frame from a client that waits for nothing
-    hello: float = 5.0  # seconds within which a new link has to say who it is
-    retry_after: float = 1.0  # told to who is turned away
-    link_queue: int = 4096  # frames waiting for one host
-    connect: float = 1.0  # seconds for a link to stand
-    link_silent: float = 4.0  # seconds after which a link whose host answers nothing counts as broken
+    client_bytes: int = 262144  # bytes queued for one client
+    # seconds after which a client that waits for nothing and sends nothing is disconnected
+    client_idle: float = 300.0
+    hello: float = 5.0  # seconds within which a new link has to identify itself
+    retry_after: float = 1.0  # seconds; sent to a client whose job is turned away
+    link_queue: int = 4096  # frames queued for one host
+    connect: float = 1.0  # seconds for a link to be established
+    link_silent: float = 4.0  # seconds after which a link whose host does not reply counts as broken
     watch: float = 2.0  # seconds for discovery to answer a watch
-    probe: float = 1.0  # seconds for a probe's answer
-    work: int = 65536  # bytes of what a host is to run for a job
-    hold: float = 604800.0  # seconds for which an owner may hold a job
-    leave: float = 10.0  # seconds that a controller told to end waits for the jobs it holds
-    welcome_pace: float = 20.0  # hosts a second asked, after a start, what they hold
+    probe: float = 1.0  # seconds for the reply to a probe
+    work: int = 65536  # bytes of the work that a host runs for a job
+    hold: float = 604800.0  # maximum seconds for which an owner may hold a job
+    leave: float = 10.0  # seconds that a controller waits for unanswered jobs when it shuts down
+    welcome_pace: float = 20.0  # hosts per second that are asked for their launches after a start
 
 
 @dataclass(frozen=True, slots=True)
 class Rules:
-    answer_slack: float = 0.5  # seconds after a job's expiry within which its answer counts as in time
-    drain_grace: float = 1.0  # seconds from being told of a drain to the last send
+    """Tolerances of the audit's rules and of drains. The fields are keys of the block `rules`."""
+
+    answer_slack: float = 0.5  # seconds after a job's expiry during which its answer still counts as in time
+    drain_grace: float = 1.0  # seconds from learning of a drain to the last launch sent
 
 
 @dataclass(frozen=True, slots=True)
 class JournalSettings:
-    power: bool = False  # each commit outlives a loss of power, not only the death of the process
+    """Size and durability of the job journal. The fields are keys of the block `journal`."""
+
+    power: bool = False  # each commit survives a power failure, not only the death of the process
     answers_kept: float = 600.0  # seconds for which an answer is kept for a session that has not confirmed it
-    most: int = 1 << 30  # bytes; past nine tenths of it sessions' jobs are turned away
-    spare: int = 1 << 22  # bytes set aside on the disk, given up when it is full
+    most: int = 1 << 30  # bytes; above nine tenths of it jobs of sessions are turned away
+    spare: int = 1 << 22  # bytes reserved on the disk, released when it is full
 
 
 @dataclass(frozen=True, slots=True)
 class CouncilSettings:
-    """Which controllers keep the store for work on behalf of the fleet."""
+    """The council: the controllers that store the state of the fleet's duties."""
 
-    id: str = ""  # of the council: two that meet by a wrong address refuse each other by it
-    key: str = ""  # the hash of what members, controllers and operators show; empty: no key is needed
-    lease: float = 6.0  # seconds for which a duty's owner has it without renewing
-    drift: float = 0.05  # by which a machine's clock may run faster or slower, as a share
-    places: dict[str, tuple[str, int]] = field(
-        default_factory=dict
-    )  # members, and where each one's council listens
+    id: str = ""  # of the council: two councils that meet by a wrong address refuse each other because of it
+    key: str = ""  # hash of the key shown by members, controllers and operators; empty: no key is needed
+    lease: float = 6.0  # seconds for which a duty's owner holds it without renewal
+    drift: float = 0.05  # share by which a machine's clock may run faster or slower
+    # address on which each member listens for the council, by the member's name
+    places: dict[str, tuple[str, int]] = field(default_factory=dict)
 
     @property
     def members(self) -> tuple[str, ...]:
+        """Names of the controllers that are members."""
         return tuple(self.places)
 
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What may be out of service at once for a release, and how long it waits. A campaign's own may be tighter.
+    """What a campaign may take out of service at once, and how long it waits.
 
-    Shares from 0 to 1, times in seconds.
+    A campaign's own bounds may be tighter. Shares are from 0 to 1, times in seconds. The fields are keys of
+    the block `campaign`.
     """
 
-    most: int = 2  # hosts out at once
-    cells: int = 1  # cells with a host out at once
-    room: float = 0.25  # of each kind's hosts out at once
-    patience: float = (
-        600.0  # for a drain; redoable and labelled jobs that are left then are lost to their host
-    )
-    warm: float = 10.0  # age at which a successor counts as serving
-    away: float = 120.0  # for a host that is not there, before the campaign goes on without it
-    strain: float = (
-        0.3  # share of launches turned away, or of jobs that still wait, at which it pauses by itself
-    )
+    most: int = 2  # hosts out of service at once
+    cells: int = 1  # cells with a host out of service at once
+    room: float = 0.25  # share of each kind's hosts out of service at once
+    # for a drain; redoable and labelled jobs still running then are lost with their host
+    patience: float = 600.0
+    warm: float = 10.0  # age at which a replacement counts as serving
+    away: float = 120.0  # for a host that is absent, before the campaign continues without it
+    # share of launches refused, or of jobs still waiting, at which the campaign pauses by itself
+    strain: float = 0.3
 
     def within(self, others: "Bounds") -> "Bounds":
-        """The tighter of each.
+        """The tighter bound of each pair.
 
         >>> Bounds(most=5, strain=0.2).within(Bounds(most=3)).most
         3
@@ -97,15 +101,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CampaignSettings:
+    """Campaigns: their bounds and the operators' tool that replaces hosts."""
+
     bounds: Bounds = Bounds()
-    tool: tuple[str, int] | None = (
-        None  # where the operators' tool that replaces hosts listens; None: no campaigns
-    )
-    news: float = 15.0  # seconds after which list or census are too old to begin a host on
+    tool: tuple[str, int] | None = None  # address of the tool; None: there are no campaigns
+    news: float = 15.0  # age in seconds above which host list and census are too old to start on another host
 
 
 @dataclass(frozen=True, slots=True)
 class Cluster:
+    """All settings of a cluster."""
+
     settings: api.Settings
     limits: Limits
     rules: Rules
--- a/linedeal/state/__init__.py
+++ b/linedeal/state/__init__.py
@@ -1,4 +1,4 @@
-"""What a controller keeps on disk from one life to the next."""
+"""What a controller stores on disk between restarts: its identity, the host list and the job journal."""
 
 from linedeal.state.store import Store, StoreError, open_database
 
--- a/linedeal/state/store.py
+++ b/linedeal/state/store.py
@@ -1,7 +1,7 @@
-"""A controller's directory: its life number and the last list of hosts, in SQLite.
+"""A controller's state directory: its life number (a count of starts) and the last host list, in SQLite.
 
-SQLite because what is kept is small, must survive a kill at any byte, and wants a lock so that two processes never
-share one directory; a file of our own would be a worse copy of its journal.
+SQLite is used because the data is small, must survive a kill at any byte, and needs a lock that keeps two
+processes from sharing one directory; a file format of our own would have to reimplement its journal.
 """
 
 import sqlite3
@@ -16,32 +16,36 @@
 
 
 class StoreError(Exception):
-    """The directory cannot be used; its text is one plain line that names it."""
+    """The state directory cannot be used. The message is one line that names the file or directory."""
 
 
 def open_database(path: Path, table: str) -> sqlite3.Connection:
-    """The database at `path` with this table, locked for this process; what is written is flushed at each commit.
-    Raises StoreError; none is left open then."""
+    """Opens or creates the SQLite database at `path` with this key-value table, locked for this process.
+
+    Each commit is flushed to disk. Raises StoreError if the database is locked, damaged or not accessible; no
+    connection is left open then.
+    """
     db = None
     try:
         path.parent.mkdir(parents=True, exist_ok=True)
         db = sqlite3.connect(path, timeout=0.5, isolation_level=None, check_same_thread=False)
         db.execute("PRAGMA locking_mode=EXCLUSIVE")
         db.execute("PRAGMA journal_mode=WAL")
-        db.execute("PRAGMA synchronous=FULL")  # what was told must outlive a loss of power too
-        db.execute("BEGIN EXCLUSIVE")  # takes the lock now, not at the first write
+        db.execute("PRAGMA synchronous=FULL")  # announced state must survive a power failure too
+        db.execute("BEGIN EXCLUSIVE")  # takes the lock now instead of at the first write
         db.execute(f"CREATE TABLE IF NOT EXISTS {table} (name TEXT PRIMARY KEY, value BLOB) STRICT")
         db.execute("COMMIT")
         (health,) = db.execute("PRAGMA quick_check(1)").fetchone()
-        if health != "ok":  # guards against a page that was torn or written by another hand
+        # detects pages that were torn or changed by another program
+        if health != "ok":
             raise StoreError(f"{path}: damaged: {health.splitlines()[-1]}")
         return db
     except BaseException as error:
         if db is not None:
             db.close()
         if isinstance(error, sqlite3.OperationalError):
-            said = "another controller uses it" if "locked" in str(error) else str(error)
-            raise StoreError(f"{path}: {said}") from None
+            problem = "another controller uses it" if "locked" in str(error) else str(error)
+            raise StoreError(f"{path}: {problem}") from None
         if isinstance(error, sqlite3.DatabaseError):
             raise StoreError(f"{path}: {error}") from None
         if isinstance(error, OSError):
@@ -50,18 +54,20 @@
 
 
 class Store:
-    """Open it once a process; `close` it, or die: both leave it whole."""
+    """The store of one controller, opened once per process. A kill at any time leaves it consistent."""
 
     def __init__(self, directory: str | Path):
+        """Opens the store and upgrades it if necessary. Raises StoreError, with the database closed again."""
         self.db = None
         try:
             self.open(directory)
         except StoreError:
             if self.db is not None:
-                self.db.close()  # its lock, and an upgrade that was cut short, go with it
+                self.db.close()  # releases the lock and rolls back an unfinished upgrade
             raise
 
     def open(self, directory) -> None:
+        """Opens the database in `directory` and upgrades its format. Raises StoreError."""
         path = self.path = Path(directory) / "controller.db"
         self.db = open_database(path, "kept")
         if self.get("format", int) is None:
@@ -72,9 +78,10 @@
         try:
             upgrade(self.db, found, lambda number: self.put("format", number))
         except sqlite3.Error as error:
-            raise StoreError(f"{path}: cannot be brought from format {found} to {FORMAT}: {error}") from None
+            raise StoreError(f"{path}: cannot be upgraded from format {found} to {FORMAT}: {error}") from None
 
     def get(self, name: str, kind):
+        """The value stored under `name`, decoded as type `kind`; None if there is none. Raises StoreError."""
         row = self.db.execute("SELECT value FROM kept WHERE name = ?", (name,)).fetchone()
         try:
             return None if row is None else msgspec.msgpack.decode(row[0], type=kind)
@@ -82,37 +89,43 @@
             raise StoreError(f"{self.path}: {name} cannot be read: {error}") from None
 
     def put(self, name: str, value) -> None:
+        """Stores `value` under `name`. Raises StoreError."""
         try:
             self.db.execute(
                 "INSERT INTO kept VALUES (?, ?) ON CONFLICT (name) DO UPDATE SET value = excluded.value",
                 (name, msgspec.msgpack.encode(value)),
             )
         except sqlite3.Error as error:
-            raise StoreError(f"{self.path}: {name} cannot be kept: {error}") from None
+            raise StoreError(f"{self.path}: {name} cannot be stored: {error}") from None
 
     def next_life(self) -> int:
-        """A number larger than that of every life before; on disk when this returns."""
+        """A number larger than that of all earlier lives (starts); it is on disk when this returns."""
         life = (self.get("life", int) or 0) + 1
         self.put("life", life)
         return life
 
     def load_host_list(self, at: float) -> tuple[int, tuple[ListedHost, ...]]:
-        """The version and hosts of the list kept last; (0, ()) where there is none.
+        """The version and hosts of the last stored list; (0, ()) if there is none.
 
-        `at` is the time of day; hosts have grown older by what has passed since, or by nothing if clocks jumped.
+        `at` is the journal time, in seconds. The ages of the hosts are increased by the time that has passed
+        since the list was stored, or by nothing if the clock was set back.
         """
-        kept_at, version, hosts = self.get("list", tuple[float, int, tuple[ListedHost, ...]]) or (at, 0, ())
-        passed = max(0.0, at - kept_at)
+        stored_at, version, hosts = self.get("list", tuple[float, int, tuple[ListedHost, ...]]) or (at, 0, ())
+        passed = max(0.0, at - stored_at)
         return version, tuple(replace(host, age=host.age + passed) for host in hosts)
 
     def save_host_list(self, at: float, version: int, hosts: tuple[ListedHost, ...]) -> None:
+        """Stores the host list with the journal time `at`, in seconds. Raises StoreError."""
         self.put("list", (at, version, hosts))
 
     def load_clock(self) -> Base | None:
+        """The stored base of the journal's clock, None if there is none."""
         return self.get("clock", Base)
 
     def save_clock(self, base: Base) -> None:
+        """Stores the base of the journal's clock. Raises StoreError."""
         self.put("clock", base)
 
     def close(self) -> None:
+        """Closes the database and releases its lock."""
         self.db.close()
--- a/linedeal/state/upgrade.py
+++ b/linedeal/state/upgrade.py
@@ -1,8 +1,9 @@
-"""How a store of an earlier format becomes one of this. Each step is one transaction with the new number in it."""
+"""Upgrades a store from an earlier format. Each step is one transaction, format number included."""
 
-FORMAT = 2
+FORMAT = 2  # the format that this version writes
 
-# format 1 kept a session's job and its answer; format 2 also its work, its course after the answer, and holds
+# Statements by the format that they upgrade from. Format 1 has a session's jobs and their answers; format 2
+# adds the work, the progress after the answer, and holds.
 STEPS = {
     1: (
         "ALTER TABLE jobs ADD COLUMN work BLOB NOT NULL DEFAULT x''",
@@ -24,7 +25,10 @@
 
 
 def upgrade(db, found: int, put) -> None:
-    """Brings the open database `db` from format `found` to this one; `put(number)` writes the number."""
+    """Upgrades the open database `db` from format `found` to `FORMAT`; `put(number)` writes the format.
+
+    Raises sqlite3.Error; the format of the last completed step stays.
+    """
     for number in range(found, FORMAT):
         db.execute("BEGIN IMMEDIATE")
         has_jobs = db.execute("SELECT 1 FROM sqlite_master WHERE name = 'jobs'").fetchone()
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames: whole messages whatever the pieces, one plain error whatever the bytes."""
+"""Frames: any division of the stream yields the same messages, any invalid bytes one FrameError."""
 
 import anyio
 import pytest
@@ -23,20 +23,20 @@
 
 
 @given(MESSAGES, st.lists(st.integers(1, 40), min_size=1), st.booleans())
-def test_messages_come_out_whole_in_any_pieces(messages, sizes, pack):
-    data = b"".join(encode(message, pack) for message in messages)
-    reader, out, at, turn = FrameReader(), [], 0, 0
-    while at < len(data):
-        size = sizes[turn % len(sizes)]
-        out += reader.feed(data[at : at + size])
-        at, turn = at + size, turn + 1
+def test_messages_are_decoded_from_pieces_of_any_size(messages, sizes, compress):
+    data = b"".join(encode(message, compress) for message in messages)
+    reader, decoded, offset, piece = FrameReader(), [], 0, 0
+    while offset < len(data):
+        size = sizes[piece % len(sizes)]
+        decoded += reader.feed(data[offset : offset + size])
+        offset, piece = offset + size, piece + 1
     reader.finish()
-    assert out == messages
+    assert decoded == messages
 
 
 @settings(max_examples=300)
 @given(st.binary(max_size=200))
-def test_random_bytes_give_messages_or_one_plain_error(data):
+def test_random_bytes_give_messages_or_a_one_line_error(data):
     reader = FrameReader()
     try:
         list(reader.feed(data))
@@ -46,75 +46,75 @@
 
 
 @given(st.binary(max_size=100))
-def test_a_random_body_in_a_good_frame_too(body):
-    for form in (frames.PLAIN, frames.PACKED):
+def test_a_random_body_in_a_valid_frame_gives_messages_or_a_one_line_error(body):
+    for encoding in (frames.PLAIN, frames.COMPRESSED):
         try:
-            list(FrameReader().feed(frames.HEADER.pack(len(body), form) + body))
+            list(FrameReader().feed(frames.HEADER.pack(len(body), encoding) + body))
         except FrameError as error:
             assert "\n" not in str(error)
 
 
 @pytest.mark.parametrize(
-    "data, said",
+    "data, message",
     [
-        (frames.HEADER.pack(frames.MOST + 1, 0), "at most"),
-        (frames.HEADER.pack(1, 7) + b"x", "unknown form"),
-        (frames.HEADER.pack(2, 0) + b"\xff\xff", "holds no message"),
-        (frames.HEADER.pack(3, 1) + b"abc", "cannot be unpacked"),
+        (frames.HEADER.pack(frames.MAX_FRAME_BYTES + 1, 0), "at most"),
+        (frames.HEADER.pack(1, 7) + b"x", "unknown encoding"),
+        (frames.HEADER.pack(2, 0) + b"\xff\xff", "without a valid message"),
+        (frames.HEADER.pack(3, 1) + b"abc", "compressed frame is invalid"),
     ],
 )
-def test_each_fault_is_named(data, said):
-    with pytest.raises(FrameError, match=said):
+def test_each_kind_of_invalid_frame_is_reported(data, message):
+    with pytest.raises(FrameError, match=message):
         list(FrameReader().feed(data))
 
 
-def test_a_small_frame_that_unpacks_to_much_is_refused(monkeypatch):
-    # guards against a peer that fills our memory with a few bytes
-    monkeypatch.setattr(frames, "MOST_UNPACKED", 10_000)
+def test_a_small_frame_that_expands_too_much_is_rejected(monkeypatch):
+    # a peer could otherwise fill the memory with a few bytes
+    monkeypatch.setattr(frames, "MAX_ENVELOPE_BYTES", 10_000)
     big = encode(pb.Bye(reason="x" * 50_000), compress=True)
     assert len(big) < 200
     with pytest.raises(FrameError, match="more than"):
         list(FrameReader().feed(big))
 
 
-def test_a_stream_that_ends_inside_a_frame_is_told():
+def test_a_stream_that_ends_inside_a_frame_is_an_error():
     reader = FrameReader()
     list(reader.feed(encode(pb.Probe(number=9))[:-1]))
     with pytest.raises(FrameError, match="inside a frame"):
         reader.finish()
 
 
-def test_what_a_later_version_adds_is_passed_over():
-    # field 90 of the envelope, and field 90 of a probe: neither is known here
+def test_messages_and_fields_of_later_versions_are_skipped():
+    # field 90 of the envelope and field 90 of a probe are not defined
     unknown_message = frames.HEADER.pack(4, 0) + b"\xd2\x05\x01x"
     probe = pb.Probe(number=4).SerializeToString() + b"\xd0\x05\x01"
     body = bytes([19 << 3 & 0x7F | 2 | 0x80, 19 >> 4, len(probe)]) + probe
-    out = list(FrameReader().feed(unknown_message + frames.HEADER.pack(len(body), 0) + body))
-    assert out[0] is None and out[1].number == 4
+    decoded = list(FrameReader().feed(unknown_message + frames.HEADER.pack(len(body), 0) + body))
+    assert decoded[0] is None and decoded[1].number == 4
 
 
-def test_what_is_too_large_to_send_is_refused_at_home():
+def test_a_message_over_the_frame_limit_is_not_encoded():
     with pytest.raises(FrameError, match="over the"):
-        encode(pb.Bye(reason="x" * frames.MOST))
+        encode(pb.Bye(reason="x" * frames.MAX_FRAME_BYTES))
 
 
 @settings(max_examples=150, deadline=None)
 @given(st.lists(st.binary(min_size=1, max_size=80), max_size=5), st.booleans())
-def test_any_bytes_on_a_link_are_messages_or_its_end(pieces, good_first):
-    # front, host links and the watch all read through this one place
-    async def play():
+def test_any_bytes_on_a_link_give_messages_or_end_it(pieces, valid_first):
+    # the links to clients, hosts and discovery all read through `Link`
+    async def scenario():
         near, far = pipe()
-        if good_first:
+        if valid_first:
             await near.send(encode(pb.Probe(number=5)))
         for piece in pieces:
             await near.send(piece)
         await near.aclose()
-        link, got = Link(far, FrameReader()), []
+        link, received = Link(far, FrameReader()), []
         try:
             while True:
-                got += await link.receive_all()
+                received += await link.receive_all()
         except LinkLostError as error:
             assert "\n" not in str(error)
-        assert not good_first or got[0].number == 5
+        assert not valid_first or received[0].number == 5
 
-    anyio.run(play)
+    anyio.run(scenario)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links, front and watch over real sockets, against scripted peers that misbehave."""
+"""Links to clients, hosts and discovery over real sockets, with scripted peers that misbehave."""
 
 import random
 from contextlib import asynccontextmanager
@@ -8,14 +8,13 @@
 import pytest
 import structlog
 
+from linedeal import interface as api
 from linedeal.client import Client, ClientLost, JobAsk, Owner, TurnedAway
 from linedeal.client.contact import Contact
-from linedeal import interface as api
 from linedeal.controller.hostlink import HostLink
-from linedeal.loop.inbox import Inbox
 from linedeal.controller.runtime import HaltedError, Runtime, Setup
-from linedeal.engine import effects
-from linedeal.engine import events
+from linedeal.engine import effects, events
+from linedeal.loop.inbox import Inbox
 from linedeal.net import Link, LinkLostError, TcpNet
 from linedeal.processes import unwrap
 from linedeal.protocol import FrameReader, encode, frames, pb
@@ -27,7 +26,7 @@
 from tests.engine_driver import CLUSTER
 
 pytestmark = pytest.mark.anyio
-LOOP = ("127.0.0.1", 0)
+LOOPBACK = ("127.0.0.1", 0)
 CLUSTER = CLUSTER.replace(
     "held = 5",
     """held = 5
@@ -41,7 +40,7 @@
 )
 GARBAGE = [
     random.Random(1).randbytes(64),
-    frames.HEADER.pack(frames.MOST + 1, 0),
+    frames.HEADER.pack(frames.MAX_FRAME_BYTES + 1, 0),
     encode(pb.Probe(number=1))[:-1],
     encode(pb.Hello(version=1, role=pb.CLIENT, name="x")) * 2,
     encode(pb.Answer(key="k")),
@@ -49,8 +48,8 @@
 ]
 
 
-class Cluster:
-    """One controller over sockets, with stand-ins that a test may replace."""
+class ClusterFixture:
+    """One controller over sockets, with simulated hosts and discovery that a test may replace."""
 
     def __init__(self, tasks, directory):
         self.tasks, self.directory, self.cluster, self.net = (
@@ -59,13 +58,13 @@
             parse_cluster(CLUSTER),
             TcpNet(),
         )
-        self.events: list[dict] = []
+        self.log_lines: list[dict] = []
 
-    async def discover(self):
+    async def start_discovery(self):
         self.discovery = Discovery(self.net)
-        self.watched = await self.tasks.start(self.discovery.run, LOOP)
+        self.discovery_address = await self.tasks.start(self.discovery.run, LOOPBACK)
 
-    async def host(self, name, listen=LOOP, **habits):
+    async def start_host(self, name, listen=LOOPBACK, **habits):
         model = HostModel(
             name,
             "std",
@@ -76,12 +75,12 @@
             anyio.current_time(),
             False,
         )
-        server = HostServer(model, self.net, self.watched, "itself", "z", 0)
+        server = HostServer(model, self.net, self.discovery_address, "itself", "z", 0)
         await self.tasks.start(server.run, listen)
         return server
 
     def list_host(self, name, address, boot=1):
-        """A host that a test plays itself."""
+        """Adds a host that a test simulates itself to the host list."""
         self.discovery.heard[name] = (
             anyio.current_time() + 1e6,
             pb.HostEntry(
@@ -97,28 +96,31 @@
             ),
         )
 
-    async def controller(self):
-        def keep(_, __, event):
-            self.events.append(event)
+    async def start_controller(self):
+        def collect(_, __, event):
+            self.log_lines.append(event)
             raise structlog.DropEvent
 
         log = structlog.wrap_logger(
-            structlog.PrintLogger(), processors=[structlog.processors.add_log_level, keep]
+            structlog.PrintLogger(), processors=[structlog.processors.add_log_level, collect]
         )
-        await anyio.sleep(0.6)  # until the list names the hosts
+        await anyio.sleep(0.6)  # until discovery has the hosts
         self.runtime = Runtime(
-            Setup("c", self.cluster, LOOP, self.watched, 7), Store(self.directory), self.net, log
+            Setup("c", self.cluster, LOOPBACK, self.discovery_address, 7),
+            Store(self.directory),
+            self.net,
+            log,
         )
         self.address = await self.tasks.start(self.runtime.run)
         await self.until(lambda: self.runtime.engine.ready)
 
-    async def until(self, true):
+    async def until(self, condition):
         with anyio.fail_after(5):
-            while not true():
+            while not condition():
                 await anyio.sleep(0.01)
 
-    def said(self, event):
-        return [line for line in self.events if line["event"] == event]
+    def logged(self, event):
+        return [line for line in self.log_lines if line["event"] == event]
 
     @asynccontextmanager
     async def client(self):
@@ -129,14 +131,14 @@
 @pytest.fixture
 async def cluster(tmp_path):
     async with anyio.create_task_group() as tasks:
-        cluster = Cluster(tasks, tmp_path)
-        await cluster.discover()
+        cluster = ClusterFixture(tasks, tmp_path)
+        await cluster.start_discovery()
         yield cluster
         tasks.cancel_scope.cancel()
 
 
-async def play_host(cluster, name, script, boot=1):
-    """A host that is played by `script(link, hello)` on each link."""
+async def simulate_host(cluster, name, script, boot=1):
+    """Lists a host whose links are served by `script(link, hello)`."""
 
     async def handle(stream):
         link = Link(stream, FrameReader())
@@ -149,7 +151,7 @@
         finally:
             await link.close()
 
-    address = await cluster.tasks.start(cluster.net.serve, LOOP, handle)
+    address = await cluster.tasks.start(cluster.net.serve, LOOPBACK, handle)
     cluster.list_host(name, address, boot)
 
 
@@ -161,9 +163,9 @@
 FEED = JobAsk("feed", "", "s", 1.0, 1.0, wait=2.0)
 
 
-async def test_garbage_at_the_front_ends_that_link_alone(cluster):
-    await cluster.host("a")
-    await cluster.controller()
+async def test_invalid_data_from_a_client_ends_only_its_link(cluster):
+    await cluster.start_host("a")
+    await cluster.start_controller()
     async with cluster.client() as good:
         for data in GARBAGE:
             stream = await cluster.net.connect(cluster.address)
@@ -177,38 +179,38 @@
                     pass
             await stream.aclose()
         assert (await good.submit(ASK)).verdict == "placed"
-    lines = cluster.said("client let go")
+    lines = cluster.logged("client let go")
     assert len(lines) == len(GARBAGE) and not any("\n" in line["reason"] for line in lines)
 
 
-async def test_who_says_nothing_or_comes_one_too_many_is_let_go(cluster):
-    await cluster.host("a")
-    await cluster.controller()
+async def test_silent_and_excess_clients_are_disconnected(cluster):
+    await cluster.start_host("a")
+    await cluster.start_controller()
     silent = await cluster.net.connect(cluster.address)
     with anyio.fail_after(2), pytest.raises(anyio.EndOfStream):
         await silent.receive()
     async with anyio.create_task_group() as tasks:
 
-        async def stay(*, task_status):
+        async def stay_connected(*, task_status):
             async with cluster.client():
                 task_status.started()
                 await anyio.sleep(5)
 
         for _ in range(6):
-            await tasks.start(stay)
+            await tasks.start(stay_connected)
         with pytest.raises(ClientLost, match="too many clients"):
             async with cluster.client():
                 pass
         tasks.cancel_scope.cancel()
 
 
-async def test_a_client_that_does_not_read_is_let_go_and_slows_nobody(cluster):
-    # guards against answers that pile up for one peer: bounded, and only that peer pays
-    await cluster.host("a")
-    await cluster.controller()
+async def test_a_client_that_does_not_read_is_disconnected_and_delays_no_other(cluster):
+    # answers queued for one client are limited; the limit affects only that client
+    await cluster.start_host("a")
+    await cluster.start_controller()
     stream = await cluster.net.connect(cluster.address)
     await stream.send(encode(pb.Hello(version=1, role=pb.CLIENT, name="slow")))
-    asks = b"".join(
+    submits = b"".join(
         encode(pb.Submit(key=f"{i:0100}", job=pb.JobSpec(offering="nothing"))) for i in range(2000)
     )
     async with cluster.client() as good, anyio.create_task_group() as tasks:
@@ -216,32 +218,33 @@
         async def flood():
             try:
                 for _ in range(60):
-                    await stream.send(asks)
+                    await stream.send(submits)
             except (anyio.BrokenResourceError, anyio.ClosedResourceError):
                 pass
 
         tasks.start_soon(flood)
-        await cluster.until(lambda: cluster.said("client let go"))
-        assert "unread" in cluster.said("client let go")[0]["reason"]
+        await cluster.until(lambda: cluster.logged("client let go"))
+        assert "unread" in cluster.logged("client let go")[0]["reason"]
         with anyio.fail_after(1):
             assert (await good.submit(ASK)).verdict == "placed"
         tasks.cancel_scope.cancel()
 
 
-async def test_a_refused_connection_leads_to_another_host_at_once(cluster):
+async def test_a_refused_connection_leads_to_another_host_immediately(cluster):
     async with await anyio.create_tcp_listener(local_host="127.0.0.1") as listener:
         address = listener.extra(anyio.abc.SocketAttribute.local_address)
-    cluster.list_host("a", address)  # nothing listens there any more
-    await cluster.controller()
-    await cluster.host("b")
+    cluster.list_host("a", address)  # nothing listens there
+    await cluster.start_controller()
+    await cluster.start_host("b")
     async with cluster.client() as client:
         with anyio.fail_after(3):
             answers = [await client.submit(FEED) for _ in range(4)]
-    assert [answer.host for answer in answers] == ["b"] * 4  # irreversible: known not to have run
+    # irreversible jobs are sent again because they are known not to have run
+    assert [answer.host for answer in answers] == ["b"] * 4
 
 
 @pytest.mark.parametrize("data", GARBAGE[:3] + [encode(pb.Submit(key="k")), welcome("another")])
-async def test_garbage_from_a_host_ends_that_link_alone(cluster, data):
+async def test_invalid_data_from_a_host_ends_only_its_link(cluster, data):
     links = []
 
     async def script(link, hello):
@@ -252,16 +255,16 @@
             await link.send(welcome("a"))
         await link.send(data)
 
-    await play_host(cluster, "a", script)
-    await cluster.host("b")
-    await cluster.controller()
+    await simulate_host(cluster, "a", script)
+    await cluster.start_host("b")
+    await cluster.start_controller()
     async with cluster.client() as client:
-        await cluster.until(lambda: [l for l in cluster.said("link down") if l["host"] == "a"])
+        await cluster.until(lambda: [line for line in cluster.logged("link down") if line["host"] == "a"])
         assert (await client.submit(ASK)).host == "b"
-    assert "\n" not in cluster.said("link down")[0]["reason"]
+    assert "\n" not in cluster.logged("link down")[0]["reason"]
 
 
-async def offered(link):
+async def receive_offer(link):
     while True:
         message = await link.receive()
         if isinstance(message, pb.Offer):
@@ -270,7 +273,7 @@
 
 @pytest.mark.parametrize("held, verdict", [(False, "placed"), (True, "placed"), (None, "written off")])
 async def test_a_link_that_breaks_under_an_irreversible_launch(cluster, held, verdict):
-    # guards against sending twice what was written as the link broke: only the host's own account settles it
+    # a launch written when the link broke is sent again only if the host reports that it did not receive it
     offers, links = [], []
 
     async def script(link, hello):
@@ -285,53 +288,55 @@
                 else [],
             )
         )
-        offers.append(await offered(link))
+        offers.append(await receive_offer(link))
         if len(offers) > 1:
             await link.send(encode(pb.Accepted(launch=offers[-1].launch)))
             await anyio.sleep(9)
 
-    await play_host(cluster, "a", script)
-    await cluster.controller()
+    await simulate_host(cluster, "a", script)
+    await cluster.start_controller()
     async with cluster.client() as client:
         with anyio.fail_after(4):
             answer = await client.submit(FEED)
     assert answer.verdict == verdict
-    assert len(offers) == (2 if held is False else 1)  # sent again only where it is proven not to have run
+    assert len(offers) == (2 if held is False else 1)  # sent again only if it is proven not to have run
     assert links == sorted(links) and len(set(links)) == len(links)
 
 
-async def test_a_host_that_goes_dumb_is_noticed_on_the_link(cluster):
-    # guards against half-closed links, on which everything seems sent
+async def test_a_host_that_stops_replying_is_detected(cluster):
+    # on a half-closed link all writes seem to succeed
     async def script(link, hello):
         await link.send(welcome("a"))
         await anyio.sleep(9)
 
-    await play_host(cluster, "a", script)
-    await cluster.controller()
+    await simulate_host(cluster, "a", script)
+    await cluster.start_controller()
     async with cluster.client() as client:
         assert (await client.submit(FEED)).verdict == "written off"
-    await cluster.until(lambda: [l for l in cluster.said("link down") if "nothing heard" in l["reason"]])
+    await cluster.until(
+        lambda: [line for line in cluster.logged("link down") if "nothing received" in line["reason"]]
+    )
 
 
-async def test_a_later_life_ends_an_earlier_one(tmp_path):
-    # guards against two processes that both believe to be this controller
-    async def life():
+async def test_a_later_life_halts_an_earlier_one(tmp_path):
+    # two processes must not both act as this controller
+    async def run_fenced_controller():
         async with anyio.create_task_group() as tasks:
-            cluster = Cluster(tasks, tmp_path)
-            await cluster.discover()
-            server = await cluster.host("a")
+            cluster = ClusterFixture(tasks, tmp_path)
+            await cluster.start_discovery()
+            server = await cluster.start_host("a")
             server.model.fences["c"] = (9, 1)
-            await cluster.controller()
+            await cluster.start_controller()
             await anyio.sleep(5)
 
     with anyio.fail_after(5), pytest.raises(BaseExceptionGroup) as caught:
-        await life()
+        await run_fenced_controller()
     assert isinstance(unwrap(caught.value), HaltedError) and "life 9" in str(unwrap(caught.value))
 
 
-async def test_a_client_that_goes_takes_its_job_back(cluster):
-    server = await cluster.host("a", look=0.2)
-    await cluster.controller()
+async def test_a_client_that_disconnects_withdraws_its_job(cluster):
+    server = await cluster.start_host("a", look=0.2)
+    await cluster.start_controller()
     async with cluster.client() as client, anyio.create_task_group() as tasks:
         tasks.start_soon(client.submit, ASK)
         await cluster.until(lambda: server.model.queue)
@@ -340,48 +345,48 @@
     await cluster.until(lambda: not server.model.copies and not cluster.runtime.engine.launches)
 
 
-async def test_garbage_from_discovery_leaves_the_list_in_force(cluster):
-    server = await cluster.host("a")
-    await cluster.controller()
-    broken = []
+async def test_invalid_data_from_discovery_leaves_the_list_in_use(cluster):
+    server = await cluster.start_host("a")
+    await cluster.start_controller()
+    failures = []
 
-    async def garbage(self, link):
-        broken.append(1)
+    async def send_garbage(self, link):
+        failures.append(1)
         await link.send(GARBAGE[0])
         await anyio.sleep(1)
 
-    cluster.discovery.watched = garbage.__get__(cluster.discovery)
+    cluster.discovery.watched = send_garbage.__get__(cluster.discovery)
     cluster.discovery.control({"lose": True})
-    await cluster.until(lambda: len(broken) >= 2)  # asked again after each failure
+    await cluster.until(lambda: len(failures) >= 2)  # requested again after each failure
     async with cluster.client() as client:
         assert (await client.submit(ASK)).host == server.model.name
 
 
-async def test_a_missed_change_is_noticed_and_the_whole_list_asked_for(cluster):
-    server = await cluster.host("a")
-    await cluster.controller()
+async def test_after_a_missed_change_the_complete_list_is_requested(cluster):
+    server = await cluster.start_host("a")
+    await cluster.start_controller()
     for watcher in cluster.discovery.watchers:
-        watcher.sent = 1 << 40  # this one is sent nothing for now
+        watcher.sent = 1 << 40  # nothing is sent to it for now
     server.control({"drain": True})
     await cluster.until(lambda: cluster.discovery.hosts["a"].mode == pb.DRAINING)
     for watcher in cluster.discovery.watchers:
-        watcher.sent = cluster.discovery.version  # ... and never what it missed
-    await cluster.host("b")
+        watcher.sent = cluster.discovery.version  # the missed change is never sent
+    await cluster.start_host("b")
     await cluster.until(lambda: "b" in cluster.runtime.links)
     assert cluster.runtime.engine.module.hosts["a"].entry.mode is api.Mode.DRAINING
 
 
-async def test_told_to_leave_it_answers_first(cluster):
-    await cluster.host("a", look=0.3)
-    await cluster.controller()
+async def test_jobs_are_answered_before_the_shutdown(cluster):
+    await cluster.start_host("a", look=0.3)
+    await cluster.start_controller()
     async with cluster.client() as client:
         async with anyio.create_task_group() as tasks:
             answers = []
 
-            async def ask():
+            async def submit():
                 answers.append(await client.submit(ASK))
 
-            tasks.start_soon(ask)
+            tasks.start_soon(submit)
             await cluster.until(lambda: cluster.runtime.engine.unanswered)
             cluster.runtime.shut_down()
             with pytest.raises(ClientLost, match="ends"):
@@ -390,9 +395,9 @@
         assert answers[0].verdict == "placed"
 
 
-async def test_what_is_not_taken_says_when_to_come_back(cluster):
-    server = await cluster.host("a")
-    await cluster.controller()
+async def test_a_declined_job_has_a_retry_time(cluster):
+    server = await cluster.start_host("a")
+    await cluster.start_controller()
     server.control({"drain": True})
     await cluster.until(
         lambda: any(h.entry.mode.name == "DRAINING" for h in cluster.runtime.engine.module.hosts.values())
@@ -407,14 +412,14 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_what_was_meant_for_an_earlier_boot_is_not_sent_to_a_young_host(cluster):
-    # guards against pushing a host over that came back while launches waited for its link
+async def test_launches_for_an_earlier_boot_are_not_sent_to_a_restarted_host(cluster):
+    # launches queued while a host restarted would overload it
     offers = []
     async with await anyio.create_tcp_listener(local_host="127.0.0.1") as listener:
         address = listener.extra(anyio.abc.SocketAttribute.local_address)
     cluster.list_host("a", address)
-    await cluster.controller()
-    await anyio.sleep(1.2)  # its link has been refused
+    await cluster.start_controller()
+    await anyio.sleep(1.2)  # its connections have been refused
 
     async def handle(stream):
         link = Link(stream, FrameReader())
@@ -422,7 +427,7 @@
             await link.receive()
             await link.send(encode(pb.Welcome(version=1, name="a", boot=2, age=0.1)))
             while True:
-                offers.append(await offered(link))
+                offers.append(await receive_offer(link))
         except LinkLostError:
             pass
 
@@ -433,38 +438,38 @@
         await cluster.until(lambda: cluster.runtime.links["a"].up)
         await anyio.sleep(0.3)
         tasks.cancel_scope.cancel()
-    assert not offers  # a controller that has just started sends a young host nothing yet
+    assert not offers  # a controller that has just started sends nothing to a host in slow start
 
 
-async def test_what_waits_for_a_host_that_drains_goes_back():
-    # guards against a launch that leaves long after the drain was told, because its link was slow
+async def test_queued_launches_for_a_draining_host_are_returned_as_unsent():
+    # on a slow link a launch could otherwise be sent long after the drain was reported
     listed = events.ListedHost("a", (), "std", "z", 0, api.Mode.SERVING, 1, 9.0, None, None)
     told = []
     link = HostLink(listed, "c", 1, None, parse_cluster(CLUSTER).limits, Inbox(told.append), None, None)
     link.launch(effects.SendLaunch("a", 7, api.Job("j", "web", "", "s", 1.0, 1.0, 9.0), 5.0, 1))
-    link.relist(listed)
+    link.update_host(listed)
     assert not told
-    link.relist(replace(listed, mode=api.Mode.DRAINING))
+    link.update_host(replace(listed, mode=api.Mode.DRAINING))
     assert told == [events.LaunchesUnsent("a", (7,))] and not link.outbox
 
 
-async def test_an_address_that_another_host_has_is_not_sent_to(cluster):
+async def test_nothing_is_sent_to_an_address_reassigned_to_another_host(cluster):
     async def script(link, hello):
         await link.send(welcome("another"))
-        await offered(link)
+        await receive_offer(link)
         raise AssertionError("sent to the wrong host")
 
-    await play_host(cluster, "a", script)
-    await cluster.controller()
+    await simulate_host(cluster, "a", script)
+    await cluster.start_controller()
     async with cluster.client() as client:
-        await cluster.until(lambda: cluster.said("link down"))
+        await cluster.until(lambda: cluster.logged("link down"))
         assert (await client.submit(JobAsk("feed", "", "s", 1.0, 1.0, wait=1.0))).verdict == "rejected"
-    assert "host 'another' answers there" in cluster.said("link down")[0]["reason"]
+    assert "host 'another' answers there" in cluster.logged("link down")[0]["reason"]
 
 
-async def test_a_client_that_breaks_off_takes_its_job_back(cluster):
-    server = await cluster.host("a", look=0.3)
-    await cluster.controller()
+async def test_a_client_whose_connection_breaks_withdraws_its_job(cluster):
+    server = await cluster.start_host("a", look=0.3)
+    await cluster.start_controller()
     stream = await cluster.net.connect(cluster.address)
     await stream.send(
         encode(pb.Hello(version=1, role=pb.CLIENT, name="x"))
@@ -475,11 +480,11 @@
     await cluster.until(lambda: not cluster.runtime.engine.unanswered and not server.model.copies)
 
 
-@pytest.mark.parametrize("when", ["before the yes", "after the answer"])
-async def test_a_sessions_job_is_answered_once_over_its_controllers_death(cluster, when):
-    # guards against a press-feed job that is asked for again, and runs twice, since its controller died
-    server = await cluster.host("a", look=0.3)
-    await cluster.controller()
+@pytest.mark.parametrize("when", ["before acceptance", "after the answer"])
+async def test_a_sessions_job_is_answered_once_over_a_kill_of_its_controller(cluster, when):
+    # an irreversible job must not be submitted again, and run twice, because its controller was killed
+    server = await cluster.start_host("a", look=0.3)
+    await cluster.start_controller()
     first, ask = cluster.runtime, JobAsk("feed", "", "s", 1.0, 1.0)
     answers = []
 
@@ -490,8 +495,8 @@
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(owner, "reader-1")
-        await cluster.until(lambda: server.model.copies if when == "before the yes" else answers)
-        first.tasks.cancel_scope.cancel()  # as a kill: nothing is answered or written any more
+        await cluster.until(lambda: server.model.copies if when == "before acceptance" else answers)
+        first.tasks.cancel_scope.cancel()  # like a kill: nothing more is answered or written
         first.store.close()
         await anyio.sleep(0.5)
         cluster.address = await restart(cluster, cluster.address)
@@ -501,6 +506,6 @@
 
 
 async def restart(cluster, address):
-    setup = Setup("c", cluster.cluster, address, cluster.watched, 7)
+    setup = Setup("c", cluster.cluster, address, cluster.discovery_address, 7)
     cluster.runtime = Runtime(setup, Store(cluster.directory), cluster.net, cluster.runtime.log)
     return await cluster.tasks.start(cluster.runtime.run)
--- a/tests/test_store_and_settings.py
+++ b/tests/test_store_and_settings.py
@@ -1,4 +1,4 @@
-"""What lies on disk, and what is read at the start."""
+"""The store, the journal's format and clock, and the reading of cluster and day files."""
 
 import sqlite3
 import subprocess
@@ -32,7 +32,7 @@
     assert lives == [1, 2, 3]
 
 
-def test_a_life_number_is_kept_though_the_process_dies_at_once(tmp_path):
+def test_a_life_number_is_on_disk_before_the_process_continues(tmp_path):
     import subprocess
     import sys
 
@@ -41,16 +41,16 @@
     assert Store(tmp_path).next_life() == 2
 
 
-def test_the_list_comes_back_older(tmp_path):
+def test_hosts_of_the_stored_list_are_older_when_it_is_loaded(tmp_path):
     store = Store(tmp_path)
     assert store.load_host_list(1000.0) == (0, ())
     store.save_host_list(1000.0, 7, (HOST,))
     version, (host,) = store.load_host_list(1060.0)
     assert version == 7 and host.age == 160.0 and host.free_memory is None
-    assert store.load_host_list(900.0)[1][0].age == 100.0  # the clock jumped back: no host grows younger
+    assert store.load_host_list(900.0)[1][0].age == 100.0  # the clock was set back: ages do not decrease
 
 
-def test_two_controllers_never_share_a_directory(tmp_path):
+def test_a_directory_is_locked_by_one_controller(tmp_path):
     store = Store(tmp_path)
     with pytest.raises(StoreError, match="another controller uses it"):
         Store(tmp_path)
@@ -58,13 +58,13 @@
     Store(tmp_path).close()
 
 
-def test_what_is_no_store_is_named(tmp_path):
+def test_a_file_that_is_not_a_database_is_reported(tmp_path):
     (tmp_path / "controller.db").write_bytes(b"something else entirely" * 100)
     with pytest.raises(StoreError, match="controller.db: file is not a database"):
         Store(tmp_path)
 
 
-def test_a_store_of_a_later_version_is_left_alone(tmp_path):
+def test_a_store_of_a_later_format_is_not_opened(tmp_path):
     Store(tmp_path).close()
     db = sqlite3.connect(tmp_path / "controller.db")
     db.execute("UPDATE kept SET value = x'63' WHERE name = 'format'")
@@ -74,7 +74,7 @@
         Store(tmp_path)
 
 
-def test_the_example_is_sound():
+def test_the_example_cluster_file_is_valid():
     cluster = read_cluster("examples/cluster.hcl")
     assert cluster.settings.offerings["photo-book"].effect is Effect.LABELLED
     assert cluster.settings.offerings["photo-book"].dedup_level is TopologyLevel.ZONE
@@ -82,11 +82,11 @@
     assert cluster.limits.held == 20000
 
 
-def test_all_faults_are_named_at_once_with_block_and_nearest_key():
+def test_all_problems_are_reported_at_once_with_block_and_nearest_key():
     with pytest.raises(ConfigError) as caught:
         parse_cluster(
             """
-cluster { 
+cluster {
   controlers = 3
   may_probe = "yes"
 }
@@ -110,12 +110,12 @@
         "f.hcl: cluster: may_probe is not bool",
         "f.hcl: ofering: unknown block, the nearest known is offering",
         "f.hcl: kind k: cores is not a number",
-        "f.hcl: kind k: stands twice",
-        "f.hcl: young: takes no name",
+        "f.hcl: kind k: is defined twice",
+        "f.hcl: young: must not have a name",
     ]
 
 
-def test_figures_that_cannot_be_are_named():
+def test_values_out_of_range_are_reported():
     with pytest.raises(ConfigError) as caught:
         parse_cluster(
             """
@@ -142,26 +142,26 @@
         "f.hcl: kind k: cores is 0, over 0 is needed",
         "f.hcl: offering a: window is 0, over 0 is needed",
         "f.hcl: offering a: group is missing, a labelled offering needs one",
-        "f.hcl: offering a: kind names 'z', which is no kind",
+        "f.hcl: offering a: kind names 'z', which is not a kind",
         "f.hcl: limits: held is 0, over 0 is needed",
     ]
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
         ("cluster {\n x = \n}", "f.hcl: line 2: not HCL"),
         ("cluster = 3", "f.hcl: cluster: is a block, not a value"),
         ("x = " + "[" * 5000 + "]" * 5000, "f.hcl: not HCL: nested too deep"),
     ],
 )
-def test_what_is_no_hcl_is_one_plain_line(text, said):
+def test_invalid_hcl_is_reported_on_one_line(text, message):
     with pytest.raises(ConfigError) as caught:
         parse_cluster(text, "f.hcl")
-    assert caught.value.lines[0].startswith(said) and "\n" not in caught.value.lines[0]
+    assert caught.value.lines[0].startswith(message) and "\n" not in caught.value.lines[0]
 
 
-def test_a_day_names_all_its_faults():
+def test_all_problems_of_a_day_file_are_reported_at_once():
     with pytest.raises(DayFault) as caught:
         parse_day(
             "cluster examples/cluster.hcl\ncontrollers 3\nhosts 2 kind std\nhosts 1 kind lead\n"
@@ -183,20 +183,20 @@
     ]
 
 
-def test_check_config_says_it_on_the_command_line(tmp_path, capsys):
+def test_check_config_prints_problems_and_sets_the_exit_status(tmp_path, capsys):
     from typer.testing import CliRunner
 
     assert CliRunner().invoke(app, ["check-config", "examples/cluster.hcl"]).exit_code == 0
-    bad = tmp_path / "bad.hcl"
-    bad.write_text("cluster {\n}\n")
-    result = CliRunner().invoke(app, ["check-config", str(bad)])
+    invalid = tmp_path / "invalid.hcl"
+    invalid.write_text("cluster {\n}\n")
+    result = CliRunner().invoke(app, ["check-config", str(invalid)])
     assert result.exit_code == 1
-    assert result.output.splitlines()[0] == f"{bad}: cluster: controllers is missing"
+    assert result.output.splitlines()[0] == f"{invalid}: cluster: controllers is missing"
 
 
-# the journal's format and clock
+# format and clock of the journal
 
-OLD_TABLES = """
+FORMAT_1_TABLES = """
 CREATE TABLE jobs (id TEXT PRIMARY KEY, session TEXT, key TEXT, job BLOB, sum INTEGER, expires REAL,
     verdict TEXT, host TEXT, answered REAL) STRICT;
 CREATE TABLE launches (life INTEGER, number INTEGER, job TEXT, host TEXT, boot INTEGER, sent REAL,
@@ -204,10 +204,10 @@
 """
 
 
-def old_store(directory):
-    """As format 1 left it: a job that is owed an answer, with a launch, and one that was answered."""
+def write_format_1_store(directory):
+    """A store in format 1 with two jobs: one with a launch and without an answer, one with an answer."""
     store = Store(directory)
-    for statement in OLD_TABLES.split(";"):
+    for statement in FORMAT_1_TABLES.split(";"):
         store.db.execute(statement)
     for number, verdict in ((1, None), (2, "placed")):
         job = msgspec.msgpack.encode(api.Job(f"c.1.{number}", "feed", "", "s", 1.0, 1.0, 9.0))
@@ -220,26 +220,26 @@
     store.close()
 
 
-def test_a_store_of_the_format_before_is_brought_up(tmp_path):
-    # guards against an upgrade that forgets what is owed
-    old_store(tmp_path)
-    for _ in range(2):  # and once only
+def test_a_store_of_the_previous_format_is_upgraded(tmp_path):
+    # the upgrade must keep the jobs without an answer
+    write_format_1_store(tmp_path)
+    for _ in range(2):  # the second time nothing is left to upgrade
         store = Store(tmp_path)
-        found = Journal(store).read(102.0, 60.0)
-        assert [(job.key, job.expires_in, job.launches[0].sent_ago) for job in found.open] == [
+        contents = Journal(store).read(102.0, 60.0)
+        assert [(job.key, job.expires_in, job.launches[0].sent_ago) for job in contents.open] == [
             ("k1", 4.0, 2.0)
         ]
-        assert [(kept.key, kept.stage, kept.host, kept.follow) for kept in found.answers] == [
+        assert [(stored.key, stored.stage, stored.host, stored.follow) for stored in contents.answers] == [
             ("k2", "PLACED", "a", False)
         ]
         assert store.get("format", int) == upgrade.FORMAT
         store.close()
 
 
-def test_an_upgrade_that_is_cut_short_leaves_the_format_before(tmp_path, monkeypatch):
-    old_store(tmp_path)
+def test_a_failed_upgrade_leaves_the_previous_format(tmp_path, monkeypatch):
+    write_format_1_store(tmp_path)
     monkeypatch.setitem(upgrade.STEPS, 1, (*upgrade.STEPS[1], "SELECT 1 FROM nowhere"))
-    with pytest.raises(StoreError, match="cannot be brought from format 1 to 2: no such table"):
+    with pytest.raises(StoreError, match="cannot be upgraded from format 1 to 2: no such table"):
         Store(tmp_path)
     monkeypatch.undo()
     store = Store(tmp_path)
@@ -247,7 +247,7 @@
     store.close()
 
 
-def test_a_torn_page_is_a_plain_message(tmp_path):
+def test_a_torn_page_is_reported_on_one_line(tmp_path):
     store = Store(tmp_path)
     journal = Journal(store, reserve_bytes=1 << 16)
     journal.write(
@@ -262,17 +262,18 @@
     )
     store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
     store.close()
-    whole = (tmp_path / "controller.db").read_bytes()
-    for at in range(4096, len(whole), 4096):  # each page but the first, torn in its middle or from its start
-        for begin in (0, 2048):
+    intact = (tmp_path / "controller.db").read_bytes()
+    # each page but the first, with its first or second half overwritten
+    for page in range(4096, len(intact), 4096):
+        for offset in (0, 2048):
             (tmp_path / "controller.db").write_bytes(
-                whole[: at + begin] + b"\xff" * 2048 + whole[at + begin + 2048 :]
+                intact[: page + offset] + b"\xff" * 2048 + intact[page + offset + 2048 :]
             )
             store = None
             try:
                 store = Store(tmp_path)
-                found = Journal(store, reserve_bytes=1 << 16).read(2.0, 60.0)
-                assert len(found.open) == 300  # what was torn held nothing
+                contents = Journal(store, reserve_bytes=1 << 16).read(2.0, 60.0)
+                assert len(contents.open) == 300  # the overwritten half was unused
             except StoreError as error:
                 assert "controller.db: " in str(error) and "\n" not in str(error)
             finally:
@@ -280,7 +281,7 @@
                     store.close()
 
 
-def test_the_journals_clock_goes_on_over_lives_and_jumps(tmp_path):
+def test_the_journals_clock_continues_over_restarts_and_clock_changes(tmp_path):
     first = journal_clock.resume(None, "m", 500.0, 10_000.0, 0.0)
     store = Store(tmp_path)
     store.save_clock(first.base)
@@ -292,34 +293,35 @@
         [effects.AcceptJob(1, "k", job.id, "s", job, 60.0), effects.SendLaunch("a", 1, job, 3.0, 5, True)],
     )
     assert journal.last_written() == 10_000.0
-    for machine, monotonic, time_of_day, ago in (
+    for boot_id, monotonic, time_of_day, sent_ago in (
         ("m", 502.0, 10_002.0, 2.0),
-        ("m", 502.0, 6_400.0, 2.0),  # set back by an hour: nothing changes
+        ("m", 502.0, 6_400.0, 2.0),  # set back by an hour, without effect
+        # after a reboot the time of day is used
         ("n", 5.0, 10_030.0, 30.0),
         ("n", 5.0, 6_400.0, float("inf")),
-    ):  # after a start of the machine it does
+    ):
         clock = journal_clock.resume(
-            store.load_clock(), machine, monotonic, time_of_day, journal.last_written()
+            store.load_clock(), boot_id, monotonic, time_of_day, journal.last_written()
         )
-        (found,) = journal.read(clock.at(monotonic), 60.0, clock.doubt).open
-        assert found.launches[0].sent_ago == ago and found.expires_in <= 60.0
+        (recovered,) = journal.read(clock.at(monotonic), 60.0, clock.doubt).open
+        assert recovered.launches[0].sent_ago == sent_ago and recovered.expires_in <= 60.0
     store.close()
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, message",
     [
         ("journal {\n most = 5\n}\n", "journal: most is 5"),
         ("journal {\n spare = 0\n}\n", "journal: spare is 0"),
         ("journal {\n answers_kept = 0\n}\n", "journal: answers_kept is 0"),
     ],
 )
-def test_faulty_bounds_of_the_journal_are_named(text, said):
-    with pytest.raises(ConfigError, match=said):
+def test_invalid_limits_of_the_journal_are_reported(text, message):
+    with pytest.raises(ConfigError, match=message):
         parse_cluster(PLAIN + text)
 
 
-# a configuration that is half written, extreme, or not what it seems
+# incomplete and extreme cluster files
 
 SMALL = """cluster {
   controllers = 2
@@ -370,77 +372,81 @@
         ("journal", "most = " + BIG),
     ],
 )
-def test_extreme_figures_are_one_plain_line(block, line):
+def test_extreme_values_are_reported_on_one_line(block, line):
     key = line.split()[0]
     if f"\n{block} " in "\n" + SMALL:
         start = SMALL.index(f"{block} ")
         end = SMALL.index("}", start)
-        kept = "".join(item for item in SMALL[start:end].splitlines(keepends=True) if item.split()[0] != key)
-        text = SMALL[:start] + kept + f"  {line}\n" + SMALL[end:]
+        others = "".join(
+            item for item in SMALL[start:end].splitlines(keepends=True) if item.split()[0] != key
+        )
+        text = SMALL[:start] + others + f"  {line}\n" + SMALL[end:]
     else:
         text = SMALL + f"{block} {{\n  {line}\n}}\n"
     with pytest.raises(ConfigError) as caught:
         parse_cluster(text)
-    assert all(len(said) < 200 and "\n" not in said for said in caught.value.lines), caught.value.lines
-    assert any(key in said and said.startswith(f"cluster.hcl: {block}") for said in caught.value.lines), (
+    assert all(len(problem) < 200 and "\n" not in problem for problem in caught.value.lines), (
         caught.value.lines
     )
+    assert any(
+        key in problem and problem.startswith(f"cluster.hcl: {block}") for problem in caught.value.lines
+    ), caught.value.lines
 
 
 @pytest.mark.parametrize(
-    "line, said",
+    "line, message",
     [
         ('group = "zone"', "offering feed: group is for labelled offerings, this one is irreversible"),
         ("window = 4", "offering feed: window is for labelled offerings, this one is irreversible"),
         ("most = 2", "offering feed: most is for offerings with a spread"),
     ],
 )
-def test_what_does_not_fit_its_offering_is_named_and_not_dropped(line, said):
-    with pytest.raises(ConfigError, match=said):
+def test_a_key_that_does_not_apply_to_its_offering_is_reported(line, message):
+    with pytest.raises(ConfigError, match=message):
         parse_cluster(SMALL.replace('effect = "irreversible"', f'effect = "irreversible"\n  {line}'))
 
 
-def test_a_key_that_left_every_controller_without_hosts_is_unknown():
-    # must_ask = false never watched discovery, which tells only watchers
+def test_must_ask_is_not_a_key():
+    # with must_ask = false controllers would not subscribe to discovery and so never learn of hosts
     with pytest.raises(ConfigError, match="cluster: unknown key must_ask"):
         parse_cluster(SMALL.replace("controllers = 2", "controllers = 2\n  must_ask = false"))
 
 
-def test_a_file_cut_at_any_byte_is_sound_or_named_in_plain_lines():
-    sound = []
+def test_a_file_cut_off_at_any_byte_is_valid_or_reported_line_by_line():
+    valid = []
     for cut in range(len(SMALL)):
         try:
             parse_cluster(SMALL[:cut])
-            sound.append(cut)
+            valid.append(cut)
         except ConfigError as error:
             assert error.lines and all("\n" not in line and len(line) < 300 for line in error.lines)
-    # between two blocks it is sound: only the blocks that came before its end are there
-    assert all(SMALL[:cut].rstrip().endswith("}") for cut in sound) and len(sound) < 8
+    # it is valid only when cut off between two blocks
+    assert all(SMALL[:cut].rstrip().endswith("}") for cut in valid) and len(valid) < 8
 
 
-def test_a_file_that_changes_while_it_is_read_is_not_believed(tmp_path, monkeypatch):
+def test_a_file_that_changes_while_it_is_read_is_rejected(tmp_path, monkeypatch):
     path = tmp_path / "cluster.hcl"
-    path.write_text(SMALL[: SMALL.index("customer")])  # sound as far as it goes
+    path.write_text(SMALL[: SMALL.index("customer")])  # valid, but incomplete
     parse = settings_cluster.parse_cluster
 
-    def slowly(text, name):
+    def change_file_and_parse(text, name):
         path.write_text(SMALL)
         return parse(text, name)
 
-    monkeypatch.setattr(settings_cluster, "parse_cluster", slowly)
+    monkeypatch.setattr(settings_cluster, "parse_cluster", change_file_and_parse)
     with pytest.raises(ConfigError, match="changed while it was read"):
         settings_cluster.read_cluster(path)
     monkeypatch.undo()
     assert settings_cluster.read_cluster(path).settings.quotas == {"paper": 4.0}
 
 
-def test_a_controller_with_a_faulty_file_leaves_its_state_as_it_was(tmp_path):
+def test_a_controller_with_an_invalid_file_does_not_change_its_state(tmp_path):
     store = Store(tmp_path / "state")
     life = store.next_life()
     store.close()
     before = {path.name: path.read_bytes() for path in (tmp_path / "state").iterdir()}
     (tmp_path / "cluster.hcl").write_text(SMALL[:-30])
-    done = subprocess.run(
+    process = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -459,7 +465,7 @@
         text=True,
         timeout=30,
     )
-    assert done.returncode == 1 and len(done.stderr.strip().splitlines()) == 1, done
+    assert process.returncode == 1 and len(process.stderr.strip().splitlines()) == 1, process
     assert {path.name: path.read_bytes() for path in (tmp_path / "state").iterdir()} == before
     store = Store(tmp_path / "state")
     assert store.next_life() == life + 1
