--- a/linedeal/interface.py
+++ b/linedeal/interface.py
@@ -1,7 +1,8 @@
-"""What goes into the decision module and what comes out of it, free of any wire.
+"""The interface of the decision module: its settings, events and actions, independent of any protocol.
 
-Times are float seconds on one clock, ids stay as given. A daemon makes a `policy.Controller` from `Settings`,
-feeds it events in order and carries out the actions that each call returns.
+Times are float seconds on one clock, durations are seconds, cores and memory are in the units of the hosts'
+sizes, ids are passed through unchanged. A caller creates a `policy.Controller` from `Settings`, passes it
+events in order and carries out the actions that each call returns.
 """
 
 from dataclasses import dataclass, field
@@ -9,13 +10,15 @@
 
 
 class Effect(Enum):
+    """What a repeated run of an offering's job does."""
+
     REDOABLE = "may run again"
     LABELLED = "carries a mark by which repeats are known"
     IRREVERSIBLE = "must never run twice"
 
 
 class TopologyLevel(Enum):
-    """What a spread, or the group that knows a labelled job's repeats, is counted over."""
+    """The hosts that form one domain: for a spread, or for recognizing repeats of a labelled job."""
 
     NONE = "nothing"
     HOST = "one host"
@@ -25,6 +28,8 @@
 
 
 class Mode(Enum):
+    """Whether a host accepts jobs."""
+
     SERVING = "takes jobs"
     DRAINING = "finishes its work"
     GONE = "removed"
@@ -44,7 +49,7 @@
 
 
 class Reason(Enum):
-    """What the host said of a result."""
+    """The host's reason for a result."""
 
     UNTOLD = "nothing"
     CORES = "no cores"
@@ -58,46 +63,58 @@
 
 @dataclass(frozen=True, slots=True)
 class Offering:
+    """A class of jobs and the rules for launching them.
+
+    `degradation_start` is the share of a host's cores up to which its jobs are served in full; service falls
+    to zero over a further `degradation_span`.
+    """
+
     name: str
-    expiry: float
-    value: float
+    expiry: float  # seconds within which a job is owed an answer
+    value: float  # of a job, for the scheduling order
     effect: Effect
-    dedup_level: TopologyLevel
-    dedup_window: float
-    kind: str | None
+    dedup_level: TopologyLevel  # domain whose hosts recognize repeats of a labelled job
+    dedup_window: float  # seconds for which they do
+    kind: str | None  # of the hosts that run it; None: any
     degradation_start: float
     degradation_span: float
-    spread_level: TopologyLevel
-    max_per_domain: int
+    spread_level: TopologyLevel  # domains over which a service's jobs are spread
+    max_per_domain: int  # jobs of one service in one of those domains
 
 
 @dataclass(frozen=True, slots=True)
 class HostKind:
+    """The size of the hosts of one kind."""
+
     cores: float
     memory: float
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
+    """The settings of the cluster that decisions depend on; the same for all controllers."""
+
     controllers: int
     offerings: dict[str, Offering]
     kinds: dict[str, HostKind]
-    quotas: dict[str, float]
-    accepts_cores: float
-    accepts_memory: float
-    starts_confirmed: bool
-    host_price: float
-    must_subscribe: bool
-    subscription_timeout: float
+    quotas: dict[str, float]  # cores for each customer, over all controllers
+    accepts_cores: float  # multiple of its cores up to which a host accepts requests
+    accepts_memory: float  # ... of its memory
+    starts_confirmed: bool  # hosts confirm a launch when the job runs, not when they accept it
+    host_price: float  # over 0: hosts in use have a price, so fewer hosts are filled fuller
+    must_subscribe: bool  # host lists come only after `Subscribe`
+    subscription_timeout: float  # seconds without a subscription after which a controller counts as informed
     may_probe: bool
-    max_launches: int
-    slow_start_duration: float
-    slow_start_limit: float
-    slow_start_window: float
+    max_launches: int  # of one job
+    slow_start_duration: float  # seconds after its start during which a host bears few launches
+    slow_start_limit: float  # launches that it bears in one window, from all controllers
+    slow_start_window: float  # seconds
 
 
 @dataclass(slots=True)
 class Job:
+    """A job as submitted; `expiry` is the time by which it is owed an answer."""
+
     id: str
     offering: str
     customer: str
@@ -109,6 +126,8 @@
 
 @dataclass(frozen=True, slots=True)
 class HostEntry:
+    """A host as listed by discovery. Free is what no job has requested; None: not known."""
+
     id: str
     kind: str
     zone: str
@@ -124,6 +143,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HostsListed:
+    """A list of hosts has arrived.
+
+    `whole`: hosts that it does not name are gone. `remembered`: it is not a fresh list but a cached one.
+    """
+
     hosts: tuple[HostEntry, ...]
     whole: bool
     remembered: bool = False
@@ -131,12 +155,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ListLost:
-    pass
+    """A subscription has failed or ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobArrived:
-    """`uncertain_launch`: the host and time of an earlier launch, unknown to the module, that may have run."""
+    """A job to launch.
+
+    `uncertain_launch`: host and time of an earlier launch, not known to the module, that may have run.
+    """
 
     job: Job
     uncertain_launch: tuple[str, float] | None = None
@@ -144,7 +171,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobFound:
-    """A job that runs already and is this controller's from now on."""
+    """A job that already runs and belongs to this controller from now on."""
 
     job: Job
     host: str
@@ -152,6 +179,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchConfirmed:
+    """The host has accepted the launch or, with `starts_confirmed`, started the job."""
+
     job: str
     launch: int
     host: str
@@ -159,7 +188,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricReported:
-    """`what` is started, cores, memory, served or host_memory."""
+    """A host's figure for a running job; `metric` is started, cores, memory, served or host_memory."""
 
     job: str
     host: str
@@ -169,6 +198,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchEnded:
+    """A launch has its outcome; `closed`: the job is not owed an answer any more."""
+
     job: str
     launch: int
     host: str
@@ -179,16 +210,22 @@
 
 @dataclass(frozen=True, slots=True)
 class JobWithdrawn:
+    """The owner has withdrawn the job; it is not owed an answer any more."""
+
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A `Timer` is due."""
+
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class HostProbed:
+    """The outcome of a `Probe`; `report` has the host's figures by name, empty if it did not answer."""
+
     host: str
     answered: bool
     report: dict[str, float] = field(default_factory=dict)
@@ -199,38 +236,50 @@
 
 @dataclass(frozen=True, slots=True)
 class Launch:
+    """Send the job to the host, and cancel the launch if it is not confirmed within `timeout` seconds."""
+
     job: str
     host: str
     timeout: float
-    send_within: float = float("inf")  # seconds within which it has to leave, or must not leave any more
+    send_within: float = float("inf")  # seconds after which it must not be sent any more
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
+    """Answer the job as rejected: it did not run, or may run again."""
+
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class WriteOff:
+    """Answer the job as written off: it may have run and must not be launched again."""
+
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class Timer:
+    """Send a `TimerFired` with `key` after `delay` seconds."""
+
     delay: float
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Request a host's figures."""
+
     host: str
 
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    pass
+    """Request the host list, and its changes from then on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Write a line for the operator."""
+
     text: str
--- a/linedeal/policy.py
+++ b/linedeal/policy.py
@@ -1,98 +1,152 @@
-"""Every decision of linedeal. Make a `Controller(settings, seed, now)`, carry out what `begin()` returns,
-feed each event to `handle(now, event)` and, after the last of that time, call `schedule_waiting(now)`; carry out the
-actions they return, in order. The types are in `linedeal/interface.py`, the design in `docs/design.md`.
+"""The decision module: chooses a host for each job and decides when a job is rejected or written off.
+
+Create a `Controller(settings, seed, now)`, carry out the actions that `begin()` returns, pass each event to
+`handle(now, event)` and, after the last event of a point in time, call `schedule_waiting(now)`. Actions are
+to be carried out in the order in which they are returned. Event and action types are in
+`linedeal/interface.py`, the design is in `docs/design.md`. The module does no input or output and reads no
+clock: the same settings, seed and events give the same actions.
 
 Mechanisms beside the design:
-1. others' load: what others hold on a host, told from lists, probes and pressure less what we hold
-2. marks: a host that refuses, is silent or late, errs on an offering or serves poorly is spared a while
-3. homes: all controllers sample the same few hosts for a service, and near ties go to those that keep it
-4. fewest hosts: where hosts in use have a price, only the fullest that the load needs are offered
-5. waiting order: within a customer's share first, then by value, then by time left
-6. slow start: a host that has just started gets our part of what all controllers together may send
+1. load of other controllers: what they hold on a host is derived from lists, probes and reported pressure,
+   less what this controller holds there
+2. backoff and ejection: a host that refuses, does not answer or answers late, fails an offering's jobs or
+   serves poorly gets no jobs for a while
+3. preferred hosts (affinity): all controllers sample the same few hosts for a service, and near ties go to
+   hosts that already have the service's program
+4. fewest hosts: where hosts in use have a price, only the fullest hosts that the load needs are candidates
+5. scheduling order: customers within their share first, then by value, then by remaining time
+6. slow start: a host that has just started gets this controller's part of what all controllers may send
+   together
 """
 
 from collections import deque
+from collections.abc import Iterator
 from dataclasses import dataclass, field, replace
 from operator import itemgetter
 from random import Random
-from typing import Iterator
 from zlib import crc32
 
 from linedeal import interface as api
 from linedeal.interface import Effect, Mode, Reason, Result, TopologyLevel
 
-ALPHA, BETA = 1.0, 2.0  # weights of hosts in use and of tazes alone
-TAZ_AT, TURTLE_AT = 0.9, 0.75  # share of the ask in use at which a service becomes a taz, and a turtle again
-NEAR, NEAR_WARM = 0.05, 0.4  # rooms this close, as a share of a host, tie; and where it has the job's program
-FULL_MARK, FULL_MOST = 0.3, 2.4  # seconds that a host which refused counts as full; doubled in a row
-SILENT_MARK, SILENT_MOST = 1.0, 8.0  # seconds that a host without an answer is spared, first and at most
-ILL_MOST = 16.0  # seconds that a host which errs is left alone by an offering, at most
-PROGRAMS = 12  # services that a host is trusted to keep after their last job
-CALM_MARGIN, MEMORY_SHARE = 0.13, 0.96  # planned: cores over the calmest offering's share; share of memory
-UNKNOWN_USE, UNKNOWN_MEMORY = 0.65, 0.8  # shares of its ask a job is taken to use before any note
-LOAD_EVERY = 0.2  # seconds between sums over all hosts
-START_WEIGHT, LATE_LIST = 0.01, 0.06  # shares of a host: a waiting start's; what came free since the list
-PRIOR_ASK = 10.0  # cores and memory that the prior of the use ratio weighs
-USED_VALID, ROUND = 2.0, 4.0  # seconds that a probe's figure does not fade; that asking all hosts may take
-SPARE_HOSTS = 0.75  # hosts in use beyond the load, for each controller, where they have a price
-POOR, POOR_MARK = 0.6, 1.5  # service under which a host counts as full, and for how long
-LATE_ANSWER, ANSWER_LEAST, ANSWER_SEEN = 5.0, 0.5, 0.15  # times the usual, seconds, weight of one answer
-IN_USE = 0.02  # share of a host's cores asked by others from which it holds known jobs
-HOMES, SPREAD = 2, 2654435761  # hosts sampled for a service; odd factor that scatters services over hosts
-HEARD_WEIGHT, USE_WEIGHT = 0.5, 0.15  # weights of a new figure against the old ones
-ASK_AGAIN, QUIET_LIST = 1.0, 6.0  # seconds before a list that failed, or says nothing, is asked for again
-LAST_MOMENT = 0.03  # seconds before a job's expiry at which waiting ends
-YOUNG_SHARE, YOUNG_SPAN, SLOT = 0.8, 1.1, 0.1  # of a young host's offers; of its span; of that, a turn
-PATIENCE = 0.25  # share of an offering's expiry that a launch may take to be accepted
-USE_MOST = 4.0  # times its ask: what a job uses beyond that tells nothing of others
-MAX_SERVICES, MAX_ENTRIES_PER_HOST = (
-    4096,
-    2000,
-)  # services remembered (those without a job go first); our launches on one host
-MAX_CHOICES, MAX_HOST_EVALUATIONS = (
-    100,
-    8000,
-)  # jobs, and hosts for them, looked at in one settling: others' events wait for it
+# Cost function F = HOST_COST * hosts in use - LONE_TAZ_GAIN * hosts with exactly one taz. `taz` and `turtle`
+# are the paper's terms: a taz is a service whose jobs use nearly all the cores they request, any other is a
+# turtle.
+HOST_COST = 1.0
+LONE_TAZ_GAIN = 2.0
+
+# Usage as a share of the requested cores. The gap keeps a service near the threshold from alternating.
+TAZ_THRESHOLD = 0.9  # at or above it a turtle becomes a taz
+TURTLE_THRESHOLD = 0.75  # below it a taz becomes a turtle again
+
+# Differences in free capacity, as a share of a host, within which hosts tie.
+TIE_MARGIN = 0.05
+WARM_TIE_MARGIN = 0.4  # for hosts that already have the job's program
+
+# Backoff of a host after a failure, seconds: the first, doubled with each further failure up to the maximum.
+REFUSAL_BACKOFF = 0.3  # the host counts as full after a refusal
+REFUSAL_BACKOFF_MAX = 2.4
+FAILURE_BACKOFF = 1.0  # after a missing answer, and for an offering whose job failed there
+UNRESPONSIVE_BACKOFF_MAX = 8.0
+EJECTION_MAX = 16.0  # of one offering from a host that fails its jobs
+POOR_SERVICE_BACKOFF = 1.5  # not doubled
+POOR_SERVICE_THRESHOLD = 0.6  # share of service below which a host counts as full
+
+MAX_IDLE_PROGRAMS = 12  # services whose program a host is assumed to keep after their last job there
+
+# Planned usage limits of a host.
+CORES_MARGIN = 0.13  # share of the cores added to the lowest degradation start of all offerings
+MEMORY_LIMIT = 0.96  # share of the memory
+
+# Usage assumed before the first report, as a share of what a job requests.
+DEFAULT_CORES_USAGE = 0.65
+DEFAULT_MEMORY_USAGE = 0.8
+
+AVERAGES_INTERVAL = 0.2  # seconds between sums over all hosts
+START_PENALTY = 0.01  # share of a host's capacity deducted for each job there that has not started yet
+LIST_LAG_ALLOWANCE = 0.06  # share of a host assumed to have come free since the last list, by others' jobs
+PRIOR_WEIGHT = 10.0  # requested cores, or memory, that the default usage ratio counts as
+PROBE_VALIDITY = 2.0  # seconds before list entries start to replace a usage figure from a probe
+PROBE_ROUND_MAX = 4.0  # seconds that probing every host once may take; beyond that no host is probed
+SPARE_HOSTS = 0.75  # hosts in use beyond the load, for each controller, where hosts have a price
+
+# When a host's answer counts as late.
+LATE_ANSWER_FACTOR = 5.0  # multiple of the offering's usual time to answer
+LATE_ANSWER_MIN = 0.5  # seconds
+ANSWER_TIME_WEIGHT = 0.15  # weight of one sample in the moving averages of answer times and arrival gaps
+
+IN_USE_THRESHOLD = 0.02  # share of a host's cores requested by others from which it counts as in use
+
+MIN_PREFERRED_HOSTS = 2  # hosts sampled for a service
+HASH_MULTIPLIER = 2654435761  # odd factor (Knuth's multiplicative hash) that scatters services over hosts
+
+# Weight of a new figure in a moving average.
+HOST_USAGE_WEIGHT = 0.5
+JOB_USAGE_WEIGHT = 0.15
+
+SUBSCRIBE_RETRY = 1.0  # seconds before the first retry after a failed list, doubled with each failure
+LIST_SILENCE_MAX = 6.0  # seconds without a list after which the subscription is renewed
+EXPIRY_MARGIN = 0.03  # seconds before a job's expiry at which waiting ends
+
+# Slow start: the safety margins keep all controllers together below what a starting host bears.
+SLOW_START_SHARE = 0.8  # of the host's launch limit
+SLOW_START_WINDOW_FACTOR = 1.1  # of the window that the limit is counted over
+SLOT_SHARE = 0.1  # of that window: the length of one of this controller's send slots
+
+ACCEPTANCE_TIMEOUT_SHARE = 0.25  # share of an offering's expiry that a host may take to accept a launch
+MAX_USAGE_RATIO = 4.0  # usage beyond this multiple of a job's request says nothing about other jobs
+MAX_SERVICES = 4096  # services remembered; beyond that, services without a job are forgotten
+MAX_ENTRIES_PER_HOST = 2000  # this controller's launches on one host, and ejections remembered for it
+
+# Work of one scheduling pass, so that other events need not wait for it.
+MAX_CHOICES = 100  # jobs for which a host is chosen
+MAX_HOST_EVALUATIONS = 8000  # hosts evaluated for those jobs
 
 NEVER_RAN = (Result.TURNED_AWAY, Result.UNREACHABLE, Result.UNSENT)
-ROOM, RUNS, NEVER = "room", "runs", float("inf")
+
+# What a job's lifecycle yields beside the host to launch on.
+AWAIT_HOST = "room"
+RUNNING = "runs"
+
+NEVER = float("inf")
 
 
 @dataclass(slots=True)
 class Service:
-    """What is known of a service's use, as shares of what its jobs ask."""
+    """Estimated usage of a service's jobs, as shares of what they request, and its launches by domain."""
 
     cores: float
     memory: float
     taz: bool = False
-    answer: float = 0.0  # seconds that hosts lately took to confirm
-    mark: int = 0  # of its name, as a host has one of its id: together they tell its homes
-    there: dict = field(default_factory=dict)  # launches without an outcome, by place of the spread
-    tracks: int = 0  # jobs in this controller's care
+    answer_time: float = 0.0  # seconds that hosts took to confirm, as a moving average
+    name_hash: int = 0  # combined with a host's name_hash it determines the service's preferred hosts
+    launches_in: dict = field(default_factory=dict)  # launches without an outcome, by domain of the spread
+    job_count: int = 0  # of this controller's tracked jobs
 
 
 @dataclass(slots=True, eq=False)
 class TrackedJob:
-    """A job in this controller's care."""
+    """A job that this controller is responsible for: waiting, launched or running."""
 
     job: api.Job
     offering: api.Offering
     service: Service
-    life: Iterator = None
-    host: "Host" = None  # where its launch without an outcome is
-    place: object = None  # ... and what counts it for the spread
+    lifecycle: Iterator = None
+    host: "Host" = None  # of the launch without an outcome
+    domain: object = None  # of that launch, as counted for the spread
     launches: int = 0
-    erred: "Host" = None  # the host that first failed it
+    failed_on: "Host" = None  # the first host that failed it
     uncertain_launch: tuple = None  # host and time of the first launch that may have run
-    sent: float = 0.0
-    answer_due: float = 0.0  # when a host that is well has answered
+    sent_at: float = 0.0
+    answer_due: float = 0.0  # after it the answer of a healthy host is late
     confirmed: bool = False
     started: bool = False
-    ended: bool = False  # answered, or no answer is owed
-    cores: float = 0.0  # in use by the last note
+    ended: bool = False  # answered, or no answer is owed any more
+    cores: float = 0.0  # in use according to the last report
     memory: float = 0.0
 
     def usage(self):
+        """Cores and memory in use: as last reported, or estimated from the service."""
         job, service = self.job, self.service
         memory = job.memory * service.memory
         return self.cores or job.cores * service.cores, self.memory if self.memory > memory else memory
@@ -100,599 +154,747 @@
 
 @dataclass(slots=True, eq=False)
 class Host:
+    """A listed host: this controller's launches there, the estimated load of others, backoffs and ejections.
+
+    Loads are tuples of requested cores, requested memory, cores in use and memory in use, or one half of
+    that.
+    """
+
     entry: api.HostEntry
     size: api.HostKind
     jobs: dict = field(default_factory=dict)  # launches without an outcome, by job id
-    starting: int = 0  # how many wait for their start
-    answer_due: float = NEVER  # earliest among those not confirmed
+    starting: int = 0  # of them, not started yet
+    answer_due: float = NEVER  # earliest of the launches not confirmed
     tazes: int = 0
-    own: tuple = (0.0, 0.0, 0.0, 0.0)  # cores and memory asked and used by this controller's jobs
-    load: tuple = None  # the same with what others ask and use; None: to be summed anew
-    asked: tuple = None  # cores and memory that others' jobs ask
-    used: tuple = None  # and use
-    used_heard: float = -NEVER
+    own_load: tuple = (0.0, 0.0, 0.0, 0.0)  # of this controller's jobs
+    total_load: tuple = None  # own load and that of others; None: to be summed again
+    others_requested: tuple = None  # cores and memory requested by other controllers' jobs; None: not known
+    others_usage: tuple = None  # cores and memory in use by them; None: not known
+    probed_usage_at: float = -NEVER
     full_until: float = 0.0
-    silent_until: float = 0.0
-    fails: int = 0
+    unresponsive_until: float = 0.0
+    missed_answers: int = 0  # in a row
     refusals: int = 0  # in a row
     ejections: dict = field(
         default_factory=dict
-    )  # by offering and customer: until when, after how many errors
-    sends: deque = field(default_factory=lambda: deque(maxlen=500))
-    programs: dict = field(default_factory=dict)  # launches of each service; 0: its program may be kept
-    probed: float = 0.0
-    mark: int = 0
-    slot: float = None  # while it is young: when one of our turns to send begins
-
-    def tally(self):
-        """One pass: this runs at each change of a launch, over all of the host's."""
+    )  # by offering and customer: end, and number of errors so far
+    send_times: deque = field(default_factory=lambda: deque(maxlen=500))
+    programs: dict = field(default_factory=dict)  # launches of each service; 0: the host may keep its program
+    probed_at: float = 0.0
+    name_hash: int = 0
+    slot_start: float = None  # during slow start: the start of one of this controller's send slots
+
+    def recount(self):
+        """Recalculates the figures that depend on `jobs`.
+
+        One pass over all launches of the host, since it runs at each change of one of them.
+        """
         starting = tazes = 0
-        due, asked, asked_memory, used, used_memory = NEVER, 0, 0, 0, 0
-        for track in self.jobs.values():
-            job = track.job
-            starting += not track.started
-            tazes += track.service.taz
-            if not track.confirmed and track.answer_due < due:
-                due = track.answer_due
-            cores, memory = track.usage()
-            asked, asked_memory = asked + job.cores, asked_memory + job.memory
-            used, used_memory = used + cores, used_memory + memory
+        due, requested_cores, requested_memory, used_cores, used_memory = NEVER, 0, 0, 0, 0
+        for tracked in self.jobs.values():
+            job = tracked.job
+            starting += not tracked.started
+            tazes += tracked.service.taz
+            if not tracked.confirmed and tracked.answer_due < due:
+                due = tracked.answer_due
+            cores, memory = tracked.usage()
+            requested_cores, requested_memory = requested_cores + job.cores, requested_memory + job.memory
+            used_cores, used_memory = used_cores + cores, used_memory + memory
         self.starting, self.tazes, self.answer_due = starting, tazes, due
-        self.own, self.load = (asked, asked_memory, used, used_memory), None
+        self.own_load, self.total_load = (requested_cores, requested_memory, used_cores, used_memory), None
 
 
 class Controller:
+    """One controller's scheduling decisions; see the module's description for how it is driven."""
+
     def __init__(self, settings, seed, now):
-        self.settings, self.random, late = settings, Random(seed), LATE_LIST * (1 - 1 / settings.controllers)
-        self.now = self.begun = self.heard_list = self.load_due = self.came = now
+        """`seed` is for choices among equal hosts; `now` is in seconds, on the clock of all later calls."""
+        self.settings, self.random, list_lag = (
+            settings,
+            Random(seed),
+            LIST_LAG_ALLOWANCE * (1 - 1 / settings.controllers),
+        )
+        self.now = self.created_at = self.list_received_at = self.averages_due = self.last_arrival = now
         self.hosts, self.tracked_jobs, self.services, self.waiting = {}, {}, {}, {}
-        self.held = {customer: 0.0 for customer in settings.quotas}
-        self.offering_estimates = {name: Service(UNKNOWN_USE, UNKNOWN_MEMORY) for name in settings.offerings}
-        self.calm = min((o.degradation_start for o in settings.offerings.values()), default=1.0) + CALM_MARGIN
-        self.gap = 1.0  # seconds between own jobs, lately
-        self.bounds = settings.accepts_cores, settings.accepts_memory, late, self.calm
-        self.use_ratio, self.mean_asked = (UNKNOWN_USE, UNKNOWN_USE), (0.5, 0.5)
-        self.serving_hosts = self.asks = 0  # hosts that take jobs; lists that failed in a row
-        self.room_made, self.paced = False, NEVER  # paced: when the next slot of a young host comes
-        self.direct = self.most = MAX_CHOICES  # jobs looked at as their events come, and in one settling
-        self.refused = None  # shapes that found no room in the settling that goes on, if any
-        self.strange, self.out = set(), []  # hosts of kinds that no setting names; what is to be done
+        self.held_cores = {customer: 0.0 for customer in settings.quotas}
+        self.offering_estimates = {
+            name: Service(DEFAULT_CORES_USAGE, DEFAULT_MEMORY_USAGE) for name in settings.offerings
+        }
+        self.planned_cores = (
+            min((o.degradation_start for o in settings.offerings.values()), default=1.0) + CORES_MARGIN
+        )
+        self.arrival_gap = 1.0  # seconds between jobs arriving here, as a moving average
+        self.capacity_limits = settings.accepts_cores, settings.accepts_memory, list_lag, self.planned_cores
+        self.usage_ratio, self.mean_requested = (DEFAULT_CORES_USAGE, DEFAULT_CORES_USAGE), (0.5, 0.5)
+        self.serving_hosts = self.failed_lists = 0  # hosts that accept jobs; failed lists in a row
+        # next_slot: start of the earliest later send slot of a host in slow start
+        self.capacity_freed, self.next_slot = False, NEVER
+        # choices left for jobs as they arrive, and the limit of one scheduling pass
+        self.choices_left = self.max_choices = MAX_CHOICES
+        # shapes of jobs without a host in the scheduling pass under way; None: no pass is under way
+        self.unplaced_shapes = None
+        # hosts of kinds that the settings do not name, and the actions to return
+        self.unknown_kind_hosts, self.actions = set(), []
 
     # -- events
 
     def begin(self):
-        self.out = []
+        """Returns the first actions; call it once, before any event."""
+        self.actions = []
         if self.settings.must_subscribe:
-            self.ask()
-            self.timer(QUIET_LIST, "list")
-        self.timer(self.settings.slow_start_window, "room")
-        return self.out
+            self.subscribe()
+            self.set_timer(LIST_SILENCE_MAX, "list")
+        self.set_timer(self.settings.slow_start_window, "room")
+        return self.actions
 
     def handle(self, now, event):
-        self.now, self.out = now, []
+        """Processes one event and returns the actions it leads to."""
+        self.now, self.actions = now, []
         match event:
-            case api.JobArrived(job, risk):
-                self.arrived(job, risk)
-            case api.MetricReported(job, _, what, value):
-                self.noted(job, what, value)
+            case api.JobArrived(job, uncertain_launch):
+                self.job_arrived(job, uncertain_launch)
+            case api.MetricReported(job, _, metric, value):
+                self.metric_reported(job, metric, value)
             case api.LaunchConfirmed(job):
-                self.confirmed(job)
-            case api.LaunchEnded(job, _, _, result, why, closed):
-                self.launch_ended(job, result, why, closed)
+                self.launch_confirmed(job)
+            case api.LaunchEnded(job, _, _, result, reason, closed):
+                self.launch_ended(job, result, reason, closed)
             case api.HostsListed(hosts, whole, remembered):
-                self.listed(hosts, whole, remembered)
+                self.hosts_listed(hosts, whole, remembered)
             case api.ListLost():
-                self.asks += 1
-                self.out.append(api.Log(f"list out of reach, time {self.asks} in a row"))
-                self.timer(
-                    min(ASK_AGAIN * 2 ** (self.asks - 1), self.settings.subscription_timeout / 2), "ask"
+                self.failed_lists += 1
+                self.actions.append(api.Log(f"list out of reach, time {self.failed_lists} in a row"))
+                self.set_timer(
+                    min(
+                        SUBSCRIBE_RETRY * 2 ** (self.failed_lists - 1), self.settings.subscription_timeout / 2
+                    ),
+                    "ask",
                 )
             case api.JobFound(job, host):
-                self.found(job, host)
+                self.job_found(job, host)
             case api.JobWithdrawn(job):
-                self.withdrawn(job)
+                self.job_withdrawn(job)
             case api.TimerFired(key):
-                self.woken(key)
+                self.timer_fired(key)
             case api.HostProbed(host, answered, report):
-                self.probed(host, answered, report)
-        return self.out
+                self.host_probed(host, answered, report)
+        return self.actions
 
     def schedule_waiting(self, now):
-        """Offers room that has come free to those who wait, in the order in which they deserve it."""
-        self.now, self.out = now, []
-        self.direct = self.most = min(MAX_CHOICES, max(1, MAX_HOST_EVALUATIONS // max(1, len(self.hosts))))
-        if self.room_made and self.refused is None:
-            self.room_made, self.refused = False, set()
-        if self.refused is None:
-            return self.out
-        tries = 0
-        for track in sorted(self.waiting.values(), key=self.claim):
+        """Scheduling pass: offers freed capacity to waiting jobs in scheduling order; returns the actions.
+
+        A pass that reaches its limit goes on in the next call, for which it sets a timer.
+        """
+        self.now, self.actions = now, []
+        self.choices_left = self.max_choices = min(
+            MAX_CHOICES, max(1, MAX_HOST_EVALUATIONS // max(1, len(self.hosts)))
+        )
+        if self.capacity_freed and self.unplaced_shapes is None:
+            self.capacity_freed, self.unplaced_shapes = False, set()
+        if self.unplaced_shapes is None:
+            return self.actions
+        choices = 0
+        for tracked in sorted(self.waiting.values(), key=self.scheduling_order):
             shape = (
-                track.offering.name,
-                track.job.cores,
-                track.job.memory,
-                track.uncertain_launch,
-                track.offering.spread_level is TopologyLevel.NONE or track.job.service,
+                tracked.offering.name,
+                tracked.job.cores,
+                tracked.job.memory,
+                tracked.uncertain_launch,
+                tracked.offering.spread_level is TopologyLevel.NONE or tracked.job.service,
             )
-            if shape in self.refused:
+            if shape in self.unplaced_shapes:
                 continue
-            if tries == self.most:
-                # guards against thousands of sizes, or hundreds of hosts to weigh: the rest in turns to come
-                self.timer(0.0, "rest")
-                return self.out
-            host, tries = self.choose_host(track), tries + 1
+            if choices == self.max_choices:
+                # thousands of sizes, or hundreds of hosts to evaluate, would delay other events: the
+                # remaining jobs are left to later passes
+                self.set_timer(0.0, "rest")
+                return self.actions
+            host, choices = self.choose_host(tracked), choices + 1
             if host:
-                del self.waiting[track.job.id]
-                self.step(track, host)
+                del self.waiting[tracked.job.id]
+                self.resume(tracked, host)
             else:
-                self.refused.add(shape)
-        self.refused = None
-        if self.room_made:  # came free while it went on
-            self.timer(0.0, "rest")
-        return self.out
-
-    def timer(self, delay, key):
-        self.out.append(api.Timer(delay, key))
-
-    def track(self, job):
+                self.unplaced_shapes.add(shape)
+        self.unplaced_shapes = None
+        if self.capacity_freed:  # during this pass
+            self.set_timer(0.0, "rest")
+        return self.actions
+
+    def set_timer(self, delay, key):
+        """Requests a `TimerFired` with `key` after `delay` seconds."""
+        self.actions.append(api.Timer(delay, key))
+
+    def track_job(self, job):
+        """Registers a job and its service, and creates its lifecycle."""
         offering = self.settings.offerings[job.offering]
         service = self.services.pop(job.service, None)
         if service is None:
-            usual = self.offering_estimates[job.offering]
-            service = Service(usual.cores, usual.memory, mark=crc32(job.service.encode()))
-            # guards against a new name for each job; a service in use stays, or its spread would be lost
+            estimate = self.offering_estimates[job.offering]
+            service = Service(estimate.cores, estimate.memory, name_hash=crc32(job.service.encode()))
+            # bounds the memory where each job names a new service; a service with jobs stays, as its spread
+            # would be lost with it
             while len(self.services) >= MAX_SERVICES:
-                idle = next((name for name, known in self.services.items() if not known.tracks), None)
+                idle = next((name for name, known in self.services.items() if not known.job_count), None)
                 if idle is None:
                     break
                 del self.services[idle]
         self.services[job.service] = service
-        service.tracks += 1
-        track = self.tracked_jobs[job.id] = TrackedJob(job, offering, service)
-        track.life = self.life(track)
-        return track
-
-    def forget(self, track):
-        if self.tracked_jobs.pop(track.job.id, None):
-            track.service.tracks -= 1
-
-    def arrived(self, job, risk):
-        gap, self.came = min(self.now - self.came, ROUND), self.now
-        self.gap += ANSWER_SEEN * (gap - self.gap)
-        # one a job, no more a turn than choices, since who is asked is a look at all; none where its news is
-        # old long before the round is over: it changes nothing. Harms where only probes find a host well
-        if self.direct > 0 and self.settings.may_probe and 0 < len(self.hosts) * self.gap <= ROUND:
-            host = min(self.hosts.values(), key=lambda host: (host.entry.mode is Mode.GONE, host.probed))
-            host.probed = self.now
-            self.out.append(api.Probe(host.entry.id))
-        track = self.track(job)
-        if risk:
-            track.uncertain_launch = (
-                self.hosts.get(risk[0]),
-                risk[1],
-            )  # None: gone since, and its group with it
-        self.step(track, None)
-
-    def found(self, job, host_id):
+        service.job_count += 1
+        tracked = self.tracked_jobs[job.id] = TrackedJob(job, offering, service)
+        tracked.lifecycle = self.lifecycle(tracked)
+        return tracked
+
+    def forget(self, tracked):
+        """Stops tracking a job; no effect if it is not tracked any more."""
+        if self.tracked_jobs.pop(tracked.job.id, None):
+            tracked.service.job_count -= 1
+
+    def job_arrived(self, job, uncertain_launch):
+        """Accepts a new job; `uncertain_launch`: host id and time of an earlier launch that may have run."""
+        gap, self.last_arrival = min(self.now - self.last_arrival, PROBE_ROUND_MAX), self.now
+        self.arrival_gap += ANSWER_TIME_WEIGHT * (gap - self.arrival_gap)
+        # Probes the host that was probed longest ago. At most one probe for each job and no more than the
+        # choices of a pass, since finding that host examines all hosts. No probe where a round over all hosts
+        # takes so long that its figures are out of date by the end. Drawback: hosts whose recovery only a
+        # probe would show.
+        if (
+            self.choices_left > 0
+            and self.settings.may_probe
+            and 0 < len(self.hosts) * self.arrival_gap <= PROBE_ROUND_MAX
+        ):
+            host = min(self.hosts.values(), key=lambda host: (host.entry.mode is Mode.GONE, host.probed_at))
+            host.probed_at = self.now
+            self.actions.append(api.Probe(host.entry.id))
+        tracked = self.track_job(job)
+        if uncertain_launch:
+            # the host is None if it has gone since; the job's repeats can then be recognized nowhere
+            tracked.uncertain_launch = self.hosts.get(uncertain_launch[0]), uncertain_launch[1]
+        self.resume(tracked, None)
+
+    def job_found(self, job, host_id):
+        """Adopts a job that already runs on a host; ignores unknown hosts, known jobs and invalid sizes."""
         host = self.hosts.get(host_id)
-        if host is None or job.id in self.tracked_jobs or not sound(job.cores, job.memory):
+        if host is None or job.id in self.tracked_jobs or not is_valid(job.cores, job.memory):
             return
-        track = self.track(job)
-        track.ended = track.confirmed = track.started = True
-        self.hold(track, host)
-        if host.asked:  # it was there before: what lists said of the host held it already
-            host.load = None
-            host.asked = max(0.0, host.asked[0] - job.cores), max(0.0, host.asked[1] - job.memory)
-
-    def withdrawn(self, job_id):
-        track = self.tracked_jobs.get(job_id)
-        if track and not track.ended:
-            track.ended = True
+        tracked = self.track_job(job)
+        tracked.ended = tracked.confirmed = tracked.started = True
+        self.add_launch(tracked, host)
+        if host.others_requested:  # the job was there before, so the lists counted it as another controller's
+            host.total_load = None
+            host.others_requested = (
+                max(0.0, host.others_requested[0] - job.cores),
+                max(0.0, host.others_requested[1] - job.memory),
+            )
+
+    def job_withdrawn(self, job_id):
+        """Ends a job that is not owed an answer any more."""
+        tracked = self.tracked_jobs.get(job_id)
+        if tracked and not tracked.ended:
+            tracked.ended = True
             self.waiting.pop(job_id, None)
-            if track.host is None:
-                self.forget(track)
+            if tracked.host is None:
+                self.forget(tracked)
 
-    def woken(self, key):
+    def timer_fired(self, key):
+        """`key` is "room", "ask", "list", "rest" (no effect of its own) or the id of a waiting job."""
         if key == "room":
-            self.room_made = True
+            self.capacity_freed = True
         elif key == "ask":
-            self.ask()
+            self.subscribe()
         elif key == "list":
-            if self.now - self.heard_list >= QUIET_LIST:
-                self.ask()
-            self.timer(QUIET_LIST, "list")
-        elif track := self.waiting.pop(key, None):
-            self.step(track, None)
-
-    # -- a job's life
-
-    def life(self, track):
-        """Yields ROOM until a host has some, then that host to launch there, then RUNS; returns the answer"""
-        while track.launches < self.settings.max_launches:
-            host = yield ROOM
+            if self.now - self.list_received_at >= LIST_SILENCE_MAX:
+                self.subscribe()
+            self.set_timer(LIST_SILENCE_MAX, "list")
+        elif tracked := self.waiting.pop(key, None):
+            self.resume(tracked, None)
+
+    # -- lifecycle of a job
+
+    def lifecycle(self, tracked):
+        """Generator that takes a job through its launches; returns the answer, or None where none is owed.
+
+        Yields AWAIT_HOST until it is sent a host (None: the time is up), then that host to launch there,
+        until it is sent the launch's result (None: confirmed), then RUNNING.
+        """
+        while tracked.launches < self.settings.max_launches:
+            host = yield AWAIT_HOST
             if host is None:
                 break
-            ended = yield host
-            if ended is None:
-                yield RUNS
+            result = yield host
+            if result is None:
+                yield RUNNING
                 return None
-            if track.ended:
+            if tracked.ended:
                 return None
-            if ended is Result.ERROR and track.erred is not host:
-                break  # it fails wherever it runs
-            if ended not in NEVER_RAN:
-                track.uncertain_launch = track.uncertain_launch or (host, track.sent)
-                if track.offering.effect is Effect.IRREVERSIBLE:
+            if result is Result.ERROR and tracked.failed_on is not host:
+                break  # it has failed on two hosts, so the job itself is at fault
+            if result not in NEVER_RAN:
+                tracked.uncertain_launch = tracked.uncertain_launch or (host, tracked.sent_at)
+                if tracked.offering.effect is Effect.IRREVERSIBLE:
                     break
-        harmless = track.uncertain_launch is None or track.offering.effect is Effect.REDOABLE
-        return api.Reject(track.job.id) if harmless else api.WriteOff(track.job.id)
+        harmless = tracked.uncertain_launch is None or tracked.offering.effect is Effect.REDOABLE
+        return api.Reject(tracked.job.id) if harmless else api.WriteOff(tracked.job.id)
 
-    def step(self, track, value):
-        """Resumes a job's life with what it waited for, and sees to what it wants next."""
+    def resume(self, tracked, value):
+        """Sends `value` into a job's lifecycle and acts on what it yields, until it has to wait."""
         while True:
             try:
-                want = track.life.send(value)
+                step = tracked.lifecycle.send(value)
             except StopIteration as stop:
                 if stop.value:
-                    self.out.append(stop.value)
-                track.ended = True
-                if track.host is None:
-                    self.forget(track)
+                    self.actions.append(stop.value)
+                tracked.ended = True
+                if tracked.host is None:
+                    self.forget(tracked)
                 return
-            if want is RUNS:
-                track.ended = True
+            if step is RUNNING:
+                tracked.ended = True
                 return
-            if want is not ROOM:
-                return self.send(track, want)
-            if self.now >= track.job.expiry - LAST_MOMENT:
+            if step is not AWAIT_HOST:
+                return self.send_launch(tracked, step)
+            if self.now >= tracked.job.expiry - EXPIRY_MARGIN:
                 value = None
                 continue
-            self.direct -= 1  # guards against a lost zone's hundreds in one turn: others' answers came late
-            value = self.choose_host(track) if self.direct >= 0 else None
+            # a lost zone releases hundreds of jobs at once; choosing for all in one step delayed other
+            # answers
+            self.choices_left -= 1
+            value = self.choose_host(tracked) if self.choices_left >= 0 else None
             if value is None:
-                self.room_made |= self.direct < 0
-                self.waiting[track.job.id] = track
-                self.timer(track.job.expiry - LAST_MOMENT - self.now, track.job.id)
+                self.capacity_freed |= self.choices_left < 0
+                self.waiting[tracked.job.id] = tracked
+                self.set_timer(tracked.job.expiry - EXPIRY_MARGIN - self.now, tracked.job.id)
                 return
 
-    def claim(self, track):
-        customer = track.job.customer
-        over = (
-            customer in self.held
-            and self.held[customer] > self.settings.quotas[customer] / self.settings.controllers
+    def scheduling_order(self, tracked):
+        """Sort key of waiting jobs: customers within their share first, then by value, then by expiry."""
+        customer = tracked.job.customer
+        over_share = (
+            customer in self.held_cores
+            and self.held_cores[customer] > self.settings.quotas[customer] / self.settings.controllers
         )
-        return over, -track.offering.value, track.job.expiry
+        return over_share, -tracked.offering.value, tracked.job.expiry
 
-    # -- the design: filter, change in F, most room
+    # -- the design: filter the hosts, keep those that increase F least, take the one with most free capacity
 
-    def choose_host(self, track):
-        if not self.needs_launch(track):
+    def choose_host(self, tracked):
+        """The host to launch a job on, or None if no host may take it now."""
+        if not self.needs_launch(tracked):
             return None
-        # hosts that answer an offering with errors; where all do, the fault is elsewhere and none is ill
-        offers, now, name, self.paced = [], self.now, (track.offering.name, track.job.customer), NEVER
-        ill = [
+        candidates, now, name, self.next_slot = (
+            [],
+            self.now,
+            (tracked.offering.name, tracked.job.customer),
+            NEVER,
+        )
+        # Hosts that fail this offering's jobs for this customer. Where all hosts do, the cause is elsewhere
+        # and none is excluded.
+        ejected = [
             host
             for host in self.hosts.values()
-            if host.ejections and host.ejections.get(name, (0.0,))[0] > now or host is track.erred
+            if host.ejections and host.ejections.get(name, (0.0,))[0] > now or host is tracked.failed_on
         ]
-        ill = ill if len(ill) < len(self.hosts) else ()
+        ejected = ejected if len(ejected) < len(self.hosts) else ()
         self.refresh_averages()
-        ask = track.job.cores, track.job.memory, *track.usage()
+        request = tracked.job.cores, tracked.job.memory, *tracked.usage()
         for host in self.hosts.values():
-            if host.full_until <= now and host.silent_until <= now and host not in ill:
-                room = self.free_capacity(ask, host)
-                if room >= 0 and self.host_allowed(track, host):
-                    offers.append((self.change(track, host), room, host))
-        if not offers:
-            if self.paced < NEVER:
-                self.timer(self.paced - now, "room")
+            if host.full_until <= now and host.unresponsive_until <= now and host not in ejected:
+                free = self.free_capacity(request, host)
+                if free >= 0 and self.host_allowed(tracked, host):
+                    candidates.append((self.cost_change(tracked, host), free, host))
+        if not candidates:
+            if self.next_slot < NEVER:
+                self.set_timer(self.next_slot - now, "room")
             return None
-        # a late answer: the host is jammed, hung or cut off, though no launch there has failed yet; covers
-        # slow starts too; the others are filled first, which harms where one job alone is slow to answer
-        offers = [offer for offer in offers if offer[2].answer_due > self.now] or offers
+        # Hosts with a late answer come last: they may be overloaded, hung or cut off before any launch there
+        # has failed, or start slowly. Drawback: one job alone that is slow to answer also diverts jobs.
+        candidates = [
+            candidate for candidate in candidates if candidate[2].answer_due > self.now
+        ] or candidates
         if self.settings.host_price:
-            offers = least_change(self.fewest(offers))
-        # all controllers sample the same few hosts for a service: its program is there and no host draws all;
-        # those known to run or keep it are looked at besides. Covers lost programs and controllers' restarts
-        # too; harms where a service's use surges: its few homes are crowded first
-        service, mark = track.job.service, track.service.mark
-        offers.sort(key=lambda offer: (mark ^ offer[2].mark) * SPREAD & 0xFFFFFFFF)
-        homes = max(HOMES, len(offers) // self.settings.controllers)
-        offers = least_change(offers[:homes] + [o for o in offers[homes:] if service in o[2].programs])
-        most = max(room for _, room, _ in offers)
-        offers = [o for o in offers if o[1] >= most - NEAR_WARM and service in o[2].programs] or offers
-        most = max(room for _, room, _ in offers)
-        return self.random.choice([host for _, room, host in offers if room >= most - NEAR])
-
-    def fewest(self, offers):
-        """Only the fullest that the load needs; more, the more controllers pick from late figures at once."""
-        full = self.serving_hosts - len(offers)
-        load = full + len(offers) - sum(map(itemgetter(1), offers)) / MEMORY_SHARE
+            candidates = with_least_cost(self.fullest_needed(candidates))
+        # Affinity: all controllers sample the same few hosts for a service, so its program is there and no
+        # host attracts all jobs. Hosts known to run or keep the service are candidates too. Also covers lost
+        # programs and restarts of controllers. Drawback: when a service's load surges, its few hosts are
+        # filled first.
+        service, service_hash = tracked.job.service, tracked.service.name_hash
+        candidates.sort(
+            key=lambda candidate: (service_hash ^ candidate[2].name_hash) * HASH_MULTIPLIER & 0xFFFFFFFF
+        )
+        preferred = max(MIN_PREFERRED_HOSTS, len(candidates) // self.settings.controllers)
+        candidates = with_least_cost(
+            candidates[:preferred] + [c for c in candidates[preferred:] if service in c[2].programs]
+        )
+        most_free = max(free for _, free, _ in candidates)
+        candidates = [
+            c for c in candidates if c[1] >= most_free - WARM_TIE_MARGIN and service in c[2].programs
+        ] or candidates
+        most_free = max(free for _, free, _ in candidates)
+        return self.random.choice([host for _, free, host in candidates if free >= most_free - TIE_MARGIN])
+
+    def fullest_needed(self, candidates):
+        """The fullest candidates that the load needs.
+
+        More of them, the more controllers choose from the same late figures.
+        """
+        full = self.serving_hosts - len(candidates)
+        load = full + len(candidates) - sum(map(itemgetter(1), candidates)) / MEMORY_LIMIT
         needed = max(1, int(load + SPARE_HOSTS * (1 + self.settings.controllers)) - full)
-        return sorted(offers, key=itemgetter(1))[:needed]
-
-    def change(self, track, host):
-        change = 0.0 if host.jobs or host.asked and host.asked[0] > IN_USE * host.size.cores else ALPHA
-        if track.service.taz:
-            change -= BETA * ((host.tazes == 0) - (host.tazes == 1))
+        return sorted(candidates, key=itemgetter(1))[:needed]
+
+    def cost_change(self, tracked, host):
+        """Change of F if the job is launched on the host."""
+        change = (
+            0.0
+            if host.jobs
+            or host.others_requested
+            and host.others_requested[0] > IN_USE_THRESHOLD * host.size.cores
+            else HOST_COST
+        )
+        if tracked.service.taz:
+            change -= LONE_TAZ_GAIN * ((host.tazes == 0) - (host.tazes == 1))
         return change
 
-    def free_capacity(self, ask, host):
-        """Room left beside a job that asks and uses so much, as a share of the host; below 0: no fit."""
-        asked_cores, asked_memory, used_cores, used_memory = host.load or self.sums(host)
-        (accepts_cores, accepts_memory, late, calm), size = self.bounds, host.size
-        left = accepts_cores - (asked_cores + ask[0]) / size.cores
-        other = accepts_memory - (asked_memory + ask[1]) / size.memory
-        left = (left if left < other else other) + late  # min() would cost more than the sums
-        other = calm - (used_cores + ask[2]) / size.cores
+    def free_capacity(self, request, host):
+        """Capacity left beside a job, as a share of the host; below 0 if the job does not fit.
+
+        `request` is the job's requested cores, requested memory, cores in use and memory in use.
+        """
+        requested_cores, requested_memory, used_cores, used_memory = host.total_load or self.sum_load(host)
+        (accepts_cores, accepts_memory, list_lag, planned_cores), size = self.capacity_limits, host.size
+        left = accepts_cores - (requested_cores + request[0]) / size.cores
+        other = accepts_memory - (requested_memory + request[1]) / size.memory
+        left = (left if left < other else other) + list_lag  # min() would cost more than the sums
+        other = planned_cores - (used_cores + request[2]) / size.cores
         left = left if left < other else other
-        other = MEMORY_SHARE - (used_memory + ask[3]) / size.memory
+        other = MEMORY_LIMIT - (used_memory + request[3]) / size.memory
         left = left if left < other else other
-        return max(0.0, left - START_WEIGHT * host.starting) if left >= 0 else -1.0
-
-    def sums(self, host):
-        own, asked, used = host.own, self.others_ask(host), host.used or self.others_use(host)
-        host.load = own[0] + asked[0], own[1] + asked[1], own[2] + used[0], own[3] + used[1]
-        return host.load
+        return max(0.0, left - START_PENALTY * host.starting) if left >= 0 else -1.0
+
+    def sum_load(self, host):
+        """Recalculates and returns the host's total load: this controller's and the others'."""
+        own, requested, used = (
+            host.own_load,
+            self.requested_by_others(host),
+            host.others_usage or self.used_by_others(host),
+        )
+        host.total_load = own[0] + requested[0], own[1] + requested[1], own[2] + used[0], own[3] + used[1]
+        return host.total_load
 
     def refresh_averages(self):
-        """Sums over all hosts, now and then: what others ask on average, and use of what they ask."""
-        if self.now < self.load_due:
+        """Updates the averages over all hosts, at most every AVERAGES_INTERVAL seconds.
+
+        They are what others request on average, and the share of requests that is in use.
+        """
+        if self.now < self.averages_due:
             return
-        self.load_due = self.now + LOAD_EVERY
+        self.averages_due = self.now + AVERAGES_INTERVAL
         hosts = self.hosts.values()
         for host in hosts:
-            host.load = None  # the sums below stand in for what is not known of it
-        own = [sum(host.own[i] for host in hosts if host.jobs) for i in range(4)]
-        self.use_ratio = [(own[i + 2] + PRIOR_ASK * UNKNOWN_USE) / (own[i] + PRIOR_ASK) for i in (0, 1)]
-        heard = [host for host in hosts if host.asked]
-        if heard:
-            s = self.settings  # at most what a host accepts: one host's odd figure is not all hosts'
-            self.mean_asked = (
-                sum(min(s.accepts_cores, host.asked[0] / host.size.cores) for host in heard) / len(heard),
-                sum(min(s.accepts_memory, host.asked[1] / host.size.memory) for host in heard) / len(heard),
+            host.total_load = None  # the averages below stand in for what is not known of a host
+        own = [sum(host.own_load[i] for host in hosts if host.jobs) for i in range(4)]
+        self.usage_ratio = [
+            (own[i + 2] + PRIOR_WEIGHT * DEFAULT_CORES_USAGE) / (own[i] + PRIOR_WEIGHT) for i in (0, 1)
+        ]
+        reported = [host for host in hosts if host.others_requested]
+        if reported:
+            s = (
+                self.settings
+            )  # bounded by what a host accepts, so that one host's wrong figure does not dominate
+            self.mean_requested = (
+                sum(min(s.accepts_cores, host.others_requested[0] / host.size.cores) for host in reported)
+                / len(reported),
+                sum(min(s.accepts_memory, host.others_requested[1] / host.size.memory) for host in reported)
+                / len(reported),
             )
 
-    def others_ask(self, host):
-        return host.asked or (self.mean_asked[0] * host.size.cores, self.mean_asked[1] * host.size.memory)
+    def requested_by_others(self, host):
+        """Cores and memory that others' jobs request on the host; the average where that is not known."""
+        return host.others_requested or (
+            self.mean_requested[0] * host.size.cores,
+            self.mean_requested[1] * host.size.memory,
+        )
 
-    def others_use(self, host):
-        """What others use of what they ask, at the ratio that this controller's own jobs show."""
-        asked = self.others_ask(host)
-        return asked[0] * self.use_ratio[0], asked[1] * self.use_ratio[1]
+    def used_by_others(self, host):
+        """Cores and memory that others use, estimated with the usage ratio of this controller's own jobs."""
+        requested = self.requested_by_others(host)
+        return requested[0] * self.usage_ratio[0], requested[1] * self.usage_ratio[1]
 
-    # -- the gate: each send passes here, and each rule is kept here
+    # -- launch rules: each launch is checked here, and each rule is enforced here
 
-    def needs_launch(self, track):
-        return not (track.ended or track.host or self.now >= track.job.expiry - LAST_MOMENT)
+    def needs_launch(self, tracked):
+        """Whether the job is owed an answer, has no launch out and has time left."""
+        return not (tracked.ended or tracked.host or self.now >= tracked.job.expiry - EXPIRY_MARGIN)
 
-    def launch_allowed(self, track, host):
-        return self.needs_launch(track) and self.host_allowed(track, host)
+    def launch_allowed(self, tracked, host):
+        """Whether the job may be launched on the host now."""
+        return self.needs_launch(tracked) and self.host_allowed(tracked, host)
 
-    def host_allowed(self, track, host):
-        entry, offering = host.entry, track.offering
+    def host_allowed(self, tracked, host):
+        """Whether the rules allow the host for the job: mode, kind, repeats, slow start and spread."""
+        entry, offering = host.entry, tracked.offering
         if entry.mode is not Mode.SERVING or (offering.kind and entry.kind != offering.kind):
             return False
-        if (
-            len(host.jobs) >= MAX_ENTRIES_PER_HOST
-        ):  # guards against jobs that ask next to nothing: each costs the others
+        if len(host.jobs) >= MAX_ENTRIES_PER_HOST:  # jobs with tiny requests; each slows down every recount
             return False
-        if track.uncertain_launch and offering.effect is not Effect.REDOABLE:
-            first = track.uncertain_launch[0]
+        if tracked.uncertain_launch and offering.effect is not Effect.REDOABLE:
+            first = tracked.uncertain_launch[0]
             if (
                 offering.effect is Effect.IRREVERSIBLE
                 or first is None
-                or self.now >= forgotten(track)
-                or (place_of(offering.dedup_level, first) != place_of(offering.dedup_level, host))
+                or self.now >= dedup_expires_at(tracked)
+                or (domain_of(offering.dedup_level, first) != domain_of(offering.dedup_level, host))
             ):
                 return False
         if entry.booted and self.now < entry.booted + self.settings.slow_start_duration:
-            if (
-                self.now < self.begun + self.settings.slow_start_window
-            ):  # an earlier life's sends there are not known
+            # launches that this controller sent there before its own restart are not known
+            if self.now < self.created_at + self.settings.slow_start_window:
                 return False
-            span, part = (
-                self.settings.slow_start_window * YOUNG_SPAN,
-                self.settings.slow_start_limit * YOUNG_SHARE / self.settings.controllers,
+            window, part = (
+                self.settings.slow_start_window * SLOW_START_WINDOW_FACTOR,
+                self.settings.slow_start_limit * SLOW_START_SHARE / self.settings.controllers,
             )
-            if part < 1.0 and host.slot is None:  # one each, in turns set by chance: else all come at once
-                host.slot = self.random.uniform(0.0, span / part)
-            since = 0.0 if host.slot is None else (self.now - host.slot) % (span / part)
-            while host.sends and host.sends[0] <= self.now - span:
-                host.sends.popleft()
-            if since >= SLOT * span or len(host.sends) + 1 > max(1.0, part):
+            # less than one launch a window: one each, in slots offset at random, or all would send at once
+            if part < 1.0 and host.slot_start is None:
+                host.slot_start = self.random.uniform(0.0, window / part)
+            since = 0.0 if host.slot_start is None else (self.now - host.slot_start) % (window / part)
+            while host.send_times and host.send_times[0] <= self.now - window:
+                host.send_times.popleft()
+            if since >= SLOT_SHARE * window or len(host.send_times) + 1 > max(1.0, part):
                 if part < 1.0:
-                    self.paced = min(self.paced, self.now + span / part - since + SLOT * span / 2)
+                    self.next_slot = min(
+                        self.next_slot, self.now + window / part - since + SLOT_SHARE * window / 2
+                    )
                 return False
         if offering.spread_level is not TopologyLevel.NONE:
-            if track.service.there.get(place_of(offering.spread_level, host), 0) >= offering.max_per_domain:
+            if (
+                tracked.service.launches_in.get(domain_of(offering.spread_level, host), 0)
+                >= offering.max_per_domain
+            ):
                 return False
         return True
 
-    def send(self, track, host):
-        if not self.launch_allowed(track, host):
-            raise AssertionError("a send that the rules forbid")
-        wait = track.job.expiry - LAST_MOMENT - self.now
-        late = max(ANSWER_LEAST, LATE_ANSWER * self.offering_estimates[track.offering.name].answer)
-        if (
-            not self.settings.starts_confirmed
-        ):  # a start that is given up is work lost, an acceptance is cheap
-            wait = min(wait, PATIENCE * track.offering.expiry)
-            if track.offering.effect is Effect.REDOABLE:
-                wait = min(wait, late)
-        track.launches += 1
-        track.sent, track.started = self.now, False
-        track.answer_due = self.now + late
-        host.sends.append(self.now)
-        self.hold(track, host)
-        self.out.append(api.Launch(track.job.id, host.entry.id, wait, forgotten(track) - self.now))
-
-    def hold(self, track, host):
-        track.host, track.place = host, place_of(track.offering.spread_level, host)
-        track.service.there[track.place] = track.service.there.get(track.place, 0) + 1
-        host.jobs[track.job.id] = track
-        host.programs[track.job.service] = host.programs.pop(track.job.service, 0) + 1
-        if track.job.customer in self.held:
-            self.held[track.job.customer] += track.job.cores
-        host.tally()
-
-    def release(self, track):
-        host, track.host = track.host, None
-        track.service.there[track.place] -= 1
-        del host.jobs[track.job.id]
-        if track.job.customer in self.held:
-            self.held[track.job.customer] -= track.job.cores
-        host.programs[track.job.service] -= 1
-        for service in [service for service, count in host.programs.items() if not count][:-PROGRAMS]:
+    def send_launch(self, tracked, host):
+        """Launches the job on the host. Raises AssertionError if the launch rules forbid it."""
+        if not self.launch_allowed(tracked, host):
+            raise AssertionError("the launch rules forbid this launch")
+        timeout = tracked.job.expiry - EXPIRY_MARGIN - self.now
+        late = max(
+            LATE_ANSWER_MIN,
+            LATE_ANSWER_FACTOR * self.offering_estimates[tracked.offering.name].answer_time,
+        )
+        # an acceptance takes little time, so a host that is slow to accept is left early; cancelling a start
+        # would waste the work done
+        if not self.settings.starts_confirmed:
+            timeout = min(timeout, ACCEPTANCE_TIMEOUT_SHARE * tracked.offering.expiry)
+            if tracked.offering.effect is Effect.REDOABLE:
+                timeout = min(timeout, late)
+        tracked.launches += 1
+        tracked.sent_at, tracked.started = self.now, False
+        tracked.answer_due = self.now + late
+        host.send_times.append(self.now)
+        self.add_launch(tracked, host)
+        self.actions.append(
+            api.Launch(tracked.job.id, host.entry.id, timeout, dedup_expires_at(tracked) - self.now)
+        )
+
+    def add_launch(self, tracked, host):
+        """Counts a job as launched on a host: for its spread, its customer's share and the host's load."""
+        tracked.host, tracked.domain = host, domain_of(tracked.offering.spread_level, host)
+        tracked.service.launches_in[tracked.domain] = tracked.service.launches_in.get(tracked.domain, 0) + 1
+        host.jobs[tracked.job.id] = tracked
+        host.programs[tracked.job.service] = host.programs.pop(tracked.job.service, 0) + 1
+        if tracked.job.customer in self.held_cores:
+            self.held_cores[tracked.job.customer] += tracked.job.cores
+        host.recount()
+
+    def remove_launch(self, tracked):
+        """Reverses `add_launch` for a launch that has ended; returns its host."""
+        host, tracked.host = tracked.host, None
+        tracked.service.launches_in[tracked.domain] -= 1
+        del host.jobs[tracked.job.id]
+        if tracked.job.customer in self.held_cores:
+            self.held_cores[tracked.job.customer] -= tracked.job.cores
+        host.programs[tracked.job.service] -= 1
+        for service in [service for service, count in host.programs.items() if not count][
+            :-MAX_IDLE_PROGRAMS
+        ]:
             del host.programs[service]
-        host.tally()
-        self.room_made = True
+        host.recount()
+        self.capacity_freed = True
         return host
 
     # -- what hosts answer
 
-    def confirmed(self, job_id):
-        track = self.tracked_jobs.get(job_id)
-        if track is None or track.host is None or track.confirmed:
+    def launch_confirmed(self, job_id):
+        """The host has accepted the job or, with `starts_confirmed`, started it."""
+        tracked = self.tracked_jobs.get(job_id)
+        if tracked is None or tracked.host is None or tracked.confirmed:
             return
-        track.confirmed = True
-        self.answered(track)
-        track.host.tally()
-        track.started = track.started or self.settings.starts_confirmed
-        track.host.fails = track.host.refusals = 0
-        if track.host.ejections:
-            track.host.ejections.pop((track.offering.name, track.job.customer), None)
-        if track.erred and track.erred is not track.host:  # it runs elsewhere, so that host was at fault
-            self.errs(track, track.erred)
-        if not track.ended:
-            self.step(track, None)
-
-    def answered(self, track):
-        """Learns how long answers take; those not waited for took so long at least."""
-        usual = self.offering_estimates[track.offering.name]
-        usual.answer += ANSWER_SEEN * (self.now - track.sent - usual.answer)
-
-    def launch_ended(self, job_id, result, why, closed):
-        track = self.tracked_jobs.get(job_id)
-        if track is None or track.host is None:
+        tracked.confirmed = True
+        self.record_answer_time(tracked)
+        tracked.host.recount()
+        tracked.started = tracked.started or self.settings.starts_confirmed
+        tracked.host.missed_answers = tracked.host.refusals = 0
+        if tracked.host.ejections:
+            tracked.host.ejections.pop((tracked.offering.name, tracked.job.customer), None)
+        if tracked.failed_on and tracked.failed_on is not tracked.host:
+            self.eject(tracked, tracked.failed_on)  # the job runs elsewhere, so that host was at fault
+        if not tracked.ended:
+            self.resume(tracked, None)
+
+    def record_answer_time(self, tracked):
+        """Updates the offering's usual time to answer; a launch that timed out took at least that long."""
+        estimate = self.offering_estimates[tracked.offering.name]
+        estimate.answer_time += ANSWER_TIME_WEIGHT * (self.now - tracked.sent_at - estimate.answer_time)
+
+    def launch_ended(self, job_id, result, reason, closed):
+        """Handles the outcome of a launch; `closed`: the job is not owed an answer any more."""
+        tracked = self.tracked_jobs.get(job_id)
+        if tracked is None or tracked.host is None:
             return
-        host = self.release(track)
-        if result is Result.SILENT and not track.confirmed:
-            self.answered(track)
-        if result in (Result.SILENT, Result.UNREACHABLE) or result is Result.CUT and why is Reason.UNTOLD:
-            self.silent(host)
-        elif result is Result.TURNED_AWAY or why is Reason.EVICTED:
-            host.fails = 0
-            host.full_until = self.marked(host, "refuses", FULL_MARK, FULL_MOST, host.refusals)
+        host = self.remove_launch(tracked)
+        if result is Result.SILENT and not tracked.confirmed:
+            self.record_answer_time(tracked)
+        if result in (Result.SILENT, Result.UNREACHABLE) or result is Result.CUT and reason is Reason.UNTOLD:
+            self.mark_unresponsive(host)
+        elif result is Result.TURNED_AWAY or reason is Reason.EVICTED:
+            host.missed_answers = 0
+            host.full_until = self.backoff_until(
+                host, "refuses", REFUSAL_BACKOFF, REFUSAL_BACKOFF_MAX, host.refusals
+            )
             host.refusals += 1
-            if not track.confirmed and not host.programs.get(track.job.service):
-                host.programs.pop(track.job.service, None)
+            if not tracked.confirmed and not host.programs.get(tracked.job.service):
+                host.programs.pop(tracked.job.service, None)
         elif result is Result.ERROR:
-            track.erred = track.erred or host
-            if track.offering.effect is Effect.IRREVERSIBLE:  # nothing more will be learned from it
-                self.errs(track, host)
-        track.ended = track.ended or closed
-        if track.ended or track.confirmed:
-            self.forget(track)
+            tracked.failed_on = tracked.failed_on or host
+            # an irreversible job is not launched again, so no other host can show whether the job itself
+            # failed
+            if tracked.offering.effect is Effect.IRREVERSIBLE:
+                self.eject(tracked, host)
+        tracked.ended = tracked.ended or closed
+        if tracked.ended or tracked.confirmed:
+            self.forget(tracked)
         else:
-            self.step(track, result)
+            self.resume(tracked, result)
 
-    def errs(self, track, host):
-        # guards against a host that fails one kind of job fast and so seems to have the most room;
-        # covers any fault bound to host and offering; harmful if it is over long before its mark. By
-        # customer: work that always fails, wherever it runs, would take the hosts from the others
-        name = track.offering.name, track.job.customer
+    def eject(self, tracked, host):
+        """Excludes the host for the job's offering and customer for a while.
+
+        A host that fails one kind of job quickly would otherwise seem to have the most free capacity. Covers
+        any fault bound to host and offering; costs capacity if the fault ends long before the ejection does.
+        Ejections are per customer, as one customer's jobs that fail everywhere would take the hosts from all
+        others.
+        """
+        name = tracked.offering.name, tracked.job.customer
         count = host.ejections.get(name, (0.0, 0))[1]
-        until = self.marked(host, f"errs on {name[0]}", SILENT_MARK, ILL_MOST, count)
-        if len(host.ejections) >= MAX_ENTRIES_PER_HOST:  # guards against a new customer each time
-            host.ejections = {known: mark for known, mark in host.ejections.items() if mark[0] > self.now}
+        until = self.backoff_until(host, f"errs on {name[0]}", FAILURE_BACKOFF, EJECTION_MAX, count)
+        if len(host.ejections) >= MAX_ENTRIES_PER_HOST:  # a new customer with each job
+            host.ejections = {
+                known: ejection for known, ejection in host.ejections.items() if ejection[0] > self.now
+            }
         host.ejections[name] = (until, count + 1)
 
-    def silent(self, host):
-        if host.silent_until > self.now:
+    def mark_unresponsive(self, host):
+        """Backoff after a missing answer; answers missing at the same time count once."""
+        if host.unresponsive_until > self.now:
             return
-        host.silent_until = self.marked(host, "gives no answer", SILENT_MARK, SILENT_MOST, host.fails)
-        host.fails += 1
+        host.unresponsive_until = self.backoff_until(
+            host, "gives no answer", FAILURE_BACKOFF, UNRESPONSIVE_BACKOFF_MAX, host.missed_answers
+        )
+        host.missed_answers += 1
 
-    def marked(self, host, what, mark, most, count):
-        """Until when, after so many failures before; those who wait are looked at again then."""
+    def backoff_until(self, host, problem, first, limit, count):
+        """End of the backoff after `count` earlier failures; waiting jobs are reconsidered then.
+
+        The backoff is `first` seconds, doubled with each earlier failure, up to `limit`. Logs the second
+        failure in a row.
+        """
         if count == 1:
-            self.out.append(api.Log(f"{host.entry.id} {what}, twice in a row"))
-        mark = min(mark * 2**count, most)
-        self.timer(mark, "room")
-        return self.now + mark
-
-    def noted(self, job_id, what, value):
-        track = self.tracked_jobs.get(job_id)
-        if track is None or track.host is None or not sound(value):
+            self.actions.append(api.Log(f"{host.entry.id} {problem}, twice in a row"))
+        backoff = min(first * 2**count, limit)
+        self.set_timer(backoff, "room")
+        return self.now + backoff
+
+    def metric_reported(self, job_id, metric, value):
+        """A host's report on a running job; reports on unknown jobs and invalid values are ignored."""
+        tracked = self.tracked_jobs.get(job_id)
+        if tracked is None or tracked.host is None or not is_valid(value):
             return
-        job = track.job
-        if what == "started":
-            track.started = True
-            track.host.tally()
-        elif what in ("cores", "memory"):
-            # guards against a tiny ask, or a host's figure beyond all sense: one job's use goes into that of
-            # its service, of its offering and of all hosts
-            ask, value = getattr(job, what), min(value, getattr(track.host.size, what))
-            setattr(track, what, value)
-            value = min(value, USE_MOST * ask)
-            for known, weight in (
-                (track.service, USE_WEIGHT),
-                (self.offering_estimates[job.offering], USE_WEIGHT / 10),
+        job = tracked.job
+        if metric == "started":
+            tracked.started = True
+            tracked.host.recount()
+        elif metric in ("cores", "memory"):
+            # One job's usage also enters the estimates of its service and of its offering. The bounds keep a
+            # tiny request, or a figure beyond the host's size, from distorting them.
+            requested, value = getattr(job, metric), min(value, getattr(tracked.host.size, metric))
+            setattr(tracked, metric, value)
+            value = min(value, MAX_USAGE_RATIO * requested)
+            for estimate, weight in (
+                (tracked.service, JOB_USAGE_WEIGHT),
+                (self.offering_estimates[job.offering], JOB_USAGE_WEIGHT / 10),
             ):
-                old = getattr(known, what)
-                setattr(known, what, old + weight * (value / ask - old))
-            service = track.service
-            service.taz = service.cores >= (TURTLE_AT if service.taz else TAZ_AT)
-            track.host.tally()
-        elif what in ("served", "host_memory"):
-            self.pressed(track, track.host, what, value)
-
-    def pressed(self, track, host, what, value):
-        """A host that serves poorly or runs out of memory is fuller than was thought, whoever fills it."""
-        size, own = host.size, host.own
+                old = getattr(estimate, metric)
+                setattr(estimate, metric, old + weight * (value / requested - old))
+            service = tracked.service
+            service.taz = service.cores >= (TURTLE_THRESHOLD if service.taz else TAZ_THRESHOLD)
+            tracked.host.recount()
+        elif metric in ("served", "host_memory"):
+            self.pressure_reported(tracked, tracked.host, metric, value)
+
+    def pressure_reported(self, tracked, host, metric, value):
+        """Raises the estimate of others' usage on a host that serves poorly or runs out of memory.
+
+        `value` is the share of service a job gets, or the share of the host's memory in use, whoever uses it.
+        """
+        size, own = host.size, host.own_load
         self.refresh_averages()
-        cores, memory = host.used or self.others_use(host)
-        if what == "served":
-            busy = track.offering.degradation_start + track.offering.degradation_span * (1 - value)
+        cores, memory = host.others_usage or self.used_by_others(host)
+        if metric == "served":
+            busy = tracked.offering.degradation_start + tracked.offering.degradation_span * (1 - value)
             cores = max(cores, busy * size.cores - own[2])
         else:
             memory = max(memory, value * size.memory - own[3])
-        host.used, host.load = (cores, memory), None
-        if what == "served" and value < POOR:
-            # guards against a jam that planned use does not show; covers slow and half-dead hosts too;
-            # harmful where all hosts serve poorly, since jobs then wait that would still earn a little
-            host.full_until = self.marked(host, "serves poorly", POOR_MARK, POOR_MARK, 0)
+        host.others_usage, host.total_load = (cores, memory), None
+        if metric == "served" and value < POOR_SERVICE_THRESHOLD:
+            # Catches overload that the planned usage does not show, and hosts that are slow or half dead.
+            # Drawback: where all hosts serve poorly, jobs wait that would still have earned a little.
+            host.full_until = self.backoff_until(
+                host, "serves poorly", POOR_SERVICE_BACKOFF, POOR_SERVICE_BACKOFF, 0
+            )
 
-    def probed(self, host_id, answered, report):
+    def host_probed(self, host_id, answered, report):
+        """The outcome of a probe: ends the host's backoff, or starts one where it did not answer."""
         host = self.hosts.get(host_id)
         if host is None:
             return
         if not answered:
-            self.silent(host)
+            self.mark_unresponsive(host)
             return
-        host.fails, host.silent_until = 0, min(host.silent_until, self.now)
-        if sound(report.get("idle_cores"), report.get("idle_memory"), least=-NEVER):
-            own, host.used_heard = host.own, self.now
-            host.used = blend(
-                host.used,
+        host.missed_answers, host.unresponsive_until = 0, min(host.unresponsive_until, self.now)
+        if is_valid(report.get("idle_cores"), report.get("idle_memory"), minimum=-NEVER):
+            own, host.probed_usage_at = host.own_load, self.now
+            host.others_usage = blend(
+                host.others_usage,
                 (
                     host.size.cores - report["idle_cores"] - own[2],
                     host.size.memory - report["idle_memory"] - own[3],
                 ),
             )
-            host.load = None
-        self.room_made = True
+            host.total_load = None
+        self.capacity_freed = True
 
     # -- which hosts there are
 
-    def ask(self):
-        self.heard_list = self.now
-        self.out.append(api.Subscribe())
+    def subscribe(self):
+        """Requests the host list, and its changes from then on."""
+        self.list_received_at = self.now
+        self.actions.append(api.Subscribe())
 
-    def listed(self, entries, whole, remembered):
-        self.asks = self.asks if remembered else 0
-        self.heard_list = self.now
+    def hosts_listed(self, entries, whole, remembered):
+        """Applies a list; a whole one also removes the hosts it does not name. `remembered`: not fresh."""
+        self.failed_lists = self.failed_lists if remembered else 0
+        self.list_received_at = self.now
         if whole:
             named = {entry.id for entry in entries}
             for host in self.hosts.values():
@@ -703,58 +905,70 @@
         for host in [h for h in self.hosts.values() if h.entry.mode is Mode.GONE and not h.jobs]:
             del self.hosts[host.entry.id]
         self.serving_hosts = sum(host.entry.mode is Mode.SERVING for host in self.hosts.values())
-        self.room_made = True
+        self.capacity_freed = True
 
     def update_host(self, entry):
+        """Applies a list entry; a host of a kind without settings is left out and logged once."""
         host = self.hosts.get(entry.id)
         if host is None:
-            if entry.kind not in self.settings.kinds:  # what it has room for cannot be known
-                if entry.id not in self.strange and len(self.strange) < MAX_SERVICES:
-                    self.strange.add(entry.id)
+            if entry.kind not in self.settings.kinds:  # its capacity is not known
+                if entry.id not in self.unknown_kind_hosts and len(self.unknown_kind_hosts) < MAX_SERVICES:
+                    self.unknown_kind_hosts.add(entry.id)
                     text = f"{entry.id} is left out: no setting names its kind {entry.kind!r}"
-                    self.out.append(api.Log(text))
+                    self.actions.append(api.Log(text))
                 return
             host = self.hosts[entry.id] = Host(
-                entry, self.settings.kinds[entry.kind], mark=crc32(entry.id.encode())
+                entry, self.settings.kinds[entry.kind], name_hash=crc32(entry.id.encode())
             )
         if entry.booted > host.entry.booted:
             host.programs = {service: count for service, count in host.programs.items() if count}
-            host.asked = host.used = host.slot = None
-        host.entry, host.load = entry, None
-        if entry.mode is not Mode.GONE and sound(entry.free_cores, entry.free_memory or 0.0, least=-NEVER):
-            own = host.own
-            if host.used and host.used_heard < self.now - USED_VALID:
-                host.used = blend(host.used, self.others_use(host))
-            # taken whole: a list may tell only of what changes, so old figures would never fade
-            host.asked = (
+            host.others_requested = host.others_usage = host.slot_start = None
+        host.entry, host.total_load = entry, None
+        if entry.mode is not Mode.GONE and is_valid(
+            entry.free_cores, entry.free_memory or 0.0, minimum=-NEVER
+        ):
+            own = host.own_load
+            if host.others_usage and host.probed_usage_at < self.now - PROBE_VALIDITY:
+                host.others_usage = blend(host.others_usage, self.used_by_others(host))
+            # replaced rather than averaged: a list may contain only changes, so old figures would never fade
+            host.others_requested = (
                 max(0.0, host.size.cores - entry.free_cores - own[0]),
                 max(0.0, host.size.memory - (entry.free_memory or 0.0) - own[1]),
             )
 
 
-def sound(*figures, least=0.0):
-    """Whether they can be reckoned with. Guards all hosts' sums against one host's word that is no figure."""
-    return all(figure is not None and least <= figure < NEVER and figure != -NEVER for figure in figures)
+def is_valid(*figures, minimum=0.0):
+    """Whether all figures are finite numbers of at least `minimum`.
+
+    Keeps one host's invalid report out of the sums over all hosts.
+    """
+    return all(figure is not None and minimum <= figure < NEVER and figure != -NEVER for figure in figures)
 
 
-def forgotten(track):
-    """When the hosts that drop repeats of a labelled job that may have run forget it."""
-    labelled = track.uncertain_launch and track.offering.effect is Effect.LABELLED
-    return track.uncertain_launch[1] + track.offering.dedup_window - LAST_MOMENT if labelled else NEVER
+def dedup_expires_at(tracked):
+    """When hosts stop recognizing repeats of a labelled job that may have run; infinity for any other job."""
+    labelled = tracked.uncertain_launch and tracked.offering.effect is Effect.LABELLED
+    return tracked.uncertain_launch[1] + tracked.offering.dedup_window - EXPIRY_MARGIN if labelled else NEVER
 
 
-def least_change(offers):
-    least = min(offer[0] for offer in offers)
-    return [offer for offer in offers if offer[0] == least]
+def with_least_cost(candidates):
+    """The candidates with the least change of F."""
+    least = min(candidate[0] for candidate in candidates)
+    return [candidate for candidate in candidates if candidate[0] == least]
 
 
 def blend(old, new):
-    return new if old is None else tuple(a + HEARD_WEIGHT * (b - a) for a, b in zip(old, new))
+    """Moving average of two figures; the new ones where there are no old ones."""
+    return (
+        new if old is None else tuple(a + HOST_USAGE_WEIGHT * (b - a) for a, b in zip(old, new, strict=False))
+    )
 
 
-def place_of(place, host):
-    """What of a host the others in its place share."""
+def domain_of(level, host):
+    """The domain of that topology level that a host is in."""
     entry = host.entry
-    return {TopologyLevel.ALL: "all", TopologyLevel.ZONE: entry.zone, TopologyLevel.CELL: entry.cell}.get(
-        place, entry.id
-    )
+    return {
+        TopologyLevel.ALL: "all",
+        TopologyLevel.ZONE: entry.zone,
+        TopologyLevel.CELL: entry.cell,
+    }.get(level, entry.id)
--- a/linedeal/wiresettings.py
+++ b/linedeal/wiresettings.py
@@ -1,11 +1,15 @@
-"""Reads the settings that the wire sends at an instance's start into the interface's `Settings`."""
+"""Reads the settings of the simulator and of the platform, one JSON object, into the interface's `Settings`.
+
+A missing setting, or one of the wrong type, raises SettingError with its path.
+"""
 
 from linedeal import interface as api
 from linedeal.settings import build
 from linedeal.settings.build import SettingError
 
+# An unknown effect counts as irreversible, the cautious one.
 EFFECTS = {"retryable": api.Effect.REDOABLE, "dedup": api.Effect.LABELLED}
-PLACES = {
+TOPOLOGY_LEVELS = {
     "all": api.TopologyLevel.ALL,
     "zone": api.TopologyLevel.ZONE,
     "cell": api.TopologyLevel.CELL,
@@ -13,6 +17,7 @@
     "off": api.TopologyLevel.NONE,
 }
 
+# Reasons, modes and metrics as the simulator and the platform name or number them.
 REASONS = {
     1: api.Reason.CORES,
     2: api.Reason.MEMORY,
@@ -27,7 +32,7 @@
 
 
 def report_names(setup):
-    """The interface's names for the figures of a host's report."""
+    """The interface's names for the figures of a host's report; `free_by` tells what free means."""
     used = setup.get("domain", {}).get("free_by") == "used"
     return (
         {"x0": "idle_cores", "x1": "idle_memory"} if used else {"x0": "unasked_cores", "x1": "unasked_memory"}
@@ -35,6 +40,7 @@
 
 
 def get(table, path, kind):
+    """The value at a dotted path, of type `kind`; raises SettingError."""
     value = table
     for key in path.split("."):
         value = value.get(key) if isinstance(value, dict) else None
@@ -42,11 +48,12 @@
 
 
 def number(values, index, path):
-    """One figure of a list that has one for each offering, kind or customer."""
+    """One figure of a list with one for each offering, kind or customer; raises SettingError."""
     return build.number(values[index] if index < len(values) else None, f"{path}[{index}]")
 
 
 def read_offering(setup, index, kinds):
+    """The offering at `index` of `classes`; `kinds`: the names of host kinds. Raises SettingError."""
     item = get(setup, "classes", list)[index]
 
     def each(key):
@@ -55,25 +62,28 @@
     effect = EFFECTS.get(get(item, "idempotency", str), api.Effect.IRREVERSIBLE)
     kind = int(each("kind_by_class"))
     spread = get(setup, "domain.class_spread", list)
-    place = (
-        PLACES.get(spread[index], api.TopologyLevel.ALL) if index < len(spread) else api.TopologyLevel.NONE
+    spread_level = (
+        TOPOLOGY_LEVELS.get(spread[index], api.TopologyLevel.ALL)
+        if index < len(spread)
+        else api.TopologyLevel.NONE
     )
     return build.offering(
         name=get(item, "name", str),
         expiry=get(item, "give_up_ms", float) / 1000,
         value=get(item, "worth", float),
         effect=effect,
-        group=PLACES.get(item.get("group"), api.TopologyLevel.NONE),
+        group=TOPOLOGY_LEVELS.get(item.get("group"), api.TopologyLevel.NONE),
         window=get(item, "window_ms", float) / 1000 if effect is api.Effect.LABELLED else 0.0,
         kind=kinds[kind] if 0 <= kind < len(kinds) else None,
         calm=each("class_calm"),
         fade=each("fades_over"),
-        place=place,
+        place=spread_level,
         most=int(each("spread_most")),
     )
 
 
 def read_settings(setup):
+    """The settings in `setup`; raises SettingError for the first that is missing or invalid."""
     names = get(setup, "kinds", list)
     kinds = {
         name: api.HostKind(
@@ -105,6 +115,6 @@
         slow_start_limit=get(setup, "domain.young_limit", float),
         slow_start_window=get(setup, "rules.overload_for_ms", float) / 1000,
     )
-    for where, said in build.invalid_settings(settings):
-        raise SettingError(f"{where} {said}")
+    for path, problem in build.invalid_settings(settings):
+        raise SettingError(f"{path} {problem}")
     return settings
