--- a/tests/checked_engine.py
+++ b/tests/checked_engine.py
@@ -1,18 +1,22 @@
-"""An engine driven by hand whose every effect is kept, so that each case ends by checking the rules it can break."""
+"""An engine driver that records all effects, so that each test can check the rules at its end."""
 
 from dataclasses import replace
 
-from linedeal.engine import Engine
-from linedeal.engine import effects
-from linedeal.engine import events
+from linedeal.engine import Engine, effects, events
 from linedeal.interface import Effect
 from linedeal.settings.cluster import parse_cluster
 from tests.engine_driver import CLUSTER, OWN_LIFE, EngineDriver
 
 
 class CheckedEngine(EngineDriver):
+    """`changes` are fields of the settings."""
+
     def __init__(
-        self, hosts="ab", life=OWN_LIFE, cluster=CLUSTER.replace("held = 5", "held = 20000"), **changes
+        self,
+        hosts="ab",
+        life=OWN_LIFE,
+        cluster=CLUSTER.replace("held = 5", "held = 20000"),  # noqa: B008 - a text, never changed
+        **changes,
     ):
         self.log = []
         self.engine = Engine(parse_cluster(cluster), "c", life, 7, 0.0)
@@ -50,19 +54,22 @@
         )
 
     def accept(self, now, sent):
-        """The host accepts a launch, and its frame has left."""
+        """The link has sent a launch, and the host accepts it."""
         self.step(now, events.LaunchesSent(sent.host, self.links[sent.host], (sent.number,)))
         return self.host_reply(events.Accepted, sent, now)
 
     def check_rules(self, until, answered=True):
-        """Rules 1 and 2 on all that was done: each job taken has one answer by `until`, nothing goes out after it, and
-        an irreversible job that may have run is neither sent again nor rejected."""
+        """Checks rules 1 and 2 on all recorded effects; returns the answers by job.
+
+        Each accepted job has one answer by `until` and is not launched after it, and an irreversible job is
+        launched once at most.
+        """
         self.advance(until)
-        taken, answers, sent = {}, {}, {}
+        accepted, answers, sent = {}, {}, {}
         for now, effect in self.log:
             match effect:
                 case effects.AcceptJob(_, _, job):
-                    taken.setdefault(job, now)
+                    accepted.setdefault(job, now)
                 case effects.SendLaunch(_, _, job):
                     assert job.id not in answers, f"{job.id} was sent after its answer"
                     sent.setdefault(job.id, []).append(effect)
@@ -73,8 +80,8 @@
                     assert job not in answers, f"{job} was answered twice"
                     answers[job] = verdict.value
         if answered:
-            owed = [job for job in taken if job not in answers and job not in self.put_back]
+            owed = [job for job in accepted if job not in answers and job not in self.withdrawn]
             assert not owed, f"never answered: {owed}"
         return answers
 
-    put_back = ()
+    withdrawn = ()
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -1,5 +1,8 @@
-"""A small cluster for clients: controllers and stand-in hosts in this process, over pipes in memory on a mock clock, or
-over loopback sockets in a thread of its own for clients that are programs."""
+"""A small cluster for tests of clients: controllers and simulated hosts in this process.
+
+They are connected by pipes in memory on a mock clock or, for clients that are programs, by loopback sockets
+in a thread.
+"""
 
 import random
 from contextlib import ExitStack, contextmanager
@@ -22,7 +25,7 @@
 
 
 def run_in_memory(directory, work, hosts=3, habits="setup=0.1 life=1", cluster=CLUSTER):
-    """Plays `work(ground)` on a mock clock: `ground.net`, controllers c1 and c2, hosts h01 ...; its result."""
+    """Runs `work(cluster)` on a mock clock; returns its result. Controllers: c1 and c2; hosts: h01 ..."""
     (directory / "cluster.hcl").write_text(cluster)
     day = parse_day(
         f"cluster cluster.hcl\nseed 5\nlength 1\ncontrollers 2\nhabit {habits}\nhosts {hosts} kind std\n"
@@ -34,7 +37,7 @@
 
 
 class SocketCluster:
-    """Use `socket_cluster`. `contact` names both controllers."""
+    """Created by `socket_cluster`. `contact` names both controllers, c1 and c2."""
 
     def __init__(self, directory, cluster, habits):
         self.directory, self.cluster, self.habits = directory, parse_cluster(cluster), habits
@@ -44,7 +47,7 @@
 
     async def run(self, *, task_status):
         async with anyio.create_task_group() as self.tasks:
-            self.found = await self.tasks.start(Discovery(self.net).run, ("127.0.0.1", 0))
+            self.discovery_address = await self.tasks.start(Discovery(self.net).run, ("127.0.0.1", 0))
             for name in ("h1", "h2", "h3"):
                 model = HostModel(
                     name,
@@ -56,7 +59,7 @@
                     anyio.current_time(),
                     False,
                 )
-                server = HostServer(model, self.net, self.found, "itself", "z", 0)
+                server = HostServer(model, self.net, self.discovery_address, "itself", "z", 0)
                 await self.tasks.start(server.run, ("127.0.0.1", 0))
             await anyio.sleep(0.3)
             for name in ("c1", "c2"):
@@ -67,7 +70,9 @@
 
     async def start(self, name):
         store = Store(self.directory / name)
-        setup = Setup(name, self.cluster, self.addresses.get(name, ("127.0.0.1", 0)), self.found, 7)
+        setup = Setup(
+            name, self.cluster, self.addresses.get(name, ("127.0.0.1", 0)), self.discovery_address, 7
+        )
         runtime = Runtime(setup, store, self.net, play.QUIET)
         scope = self.scopes[name] = anyio.CancelScope()
 
@@ -86,11 +91,11 @@
 
 
 @contextmanager
-def socket_cluster(directory, cluster=CLUSTER, habits=Habits(setup=0.02, life=0.4, look=0.001)):
-    ground = SocketCluster(directory, cluster, habits)
+def socket_cluster(directory, cluster=CLUSTER, habits=Habits(setup=0.02, life=0.4, look=0.001)):  # noqa: B008 - never changed
+    running_cluster = SocketCluster(directory, cluster, habits)
     with ExitStack() as stack:
         portal = stack.enter_context(anyio.from_thread.start_blocking_portal("asyncio"))
-        future, _ = portal.start_task(ground.run)
+        future, _ = portal.start_task(running_cluster.run)
         stack.callback(future.cancel)
-        ground.call = portal.call
-        yield ground
+        running_cluster.call = portal.call
+        yield running_cluster
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Scenario files are collected as pytest items, one a section; tests of tasks run on both of anyio's back ends."""
+"""Collects each section of a scenario file as a test; async tests run on both back ends of anyio."""
 
 import pytest
 
--- a/tests/engine_driver.py
+++ b/tests/engine_driver.py
@@ -1,9 +1,7 @@
-"""Drives an engine by hand: events in, effects by kind out."""
+"""Drives an engine step by step on a clock of its own: passes events in, returns the effects."""
 
 from linedeal import interface as api
-from linedeal.engine import Engine
-from linedeal.engine import effects
-from linedeal.engine import events
+from linedeal.engine import Engine, effects, events
 from linedeal.settings.cluster import parse_cluster
 
 CLUSTER = """
@@ -44,10 +42,12 @@
   held = 5
 }
 """
-OWN_LIFE = 3
+OWN_LIFE = 3  # of the controller under test
 
 
 class EngineDriver:
+    """A controller's engine with a list of hosts, and a link to each of them."""
+
     def __init__(self, hosts="ab", life=OWN_LIFE):
         self.engine = Engine(parse_cluster(CLUSTER), "c", life, 7, 0.0)
         self.engine.begin()
@@ -58,12 +58,12 @@
             self.link_up(host, 1)
 
     def step(self, now, *received):
-        """Events at `now`, after the timers due before then; what those brought forth is kept in `timer_effects`."""
+        """Events at `now`, after the timers due before then, whose effects are in `timer_effects`."""
         self.timer_effects = self.advance(now - 1e-6) if now > self.now else []
         return self.step_without_timers(now, *received)
 
     def step_without_timers(self, now, *received):
-        """As of a process that stood still: nothing rang meanwhile."""
+        """Events at `now`, no timer having fired since the last step, as after a stall of the process."""
         self.now = now
         for event in received:
             self.engine.put(event)
@@ -102,7 +102,7 @@
         return self.step(now, events.Submitted(client, key, offering, "", service, cores, 1.0, 0.0))
 
     def launch(self, now, offering="web", leave=True, **rest):
-        """A job whose launch is out; with `leave`, its frame has left."""
+        """Submits a job and returns its launch; with `leave`, the link has sent it."""
         sent = self.of_type(effects.SendLaunch, self.submit(now, offering, **rest))[0]
         if leave:
             self.step(now, events.LaunchesSent(sent.host, self.links[sent.host], (sent.number,)))
@@ -115,7 +115,7 @@
         return [effect.verdict.value for effect in self.of_type(effects.Answer, emitted)]
 
     def advance(self, until):
-        """Rings all timers up to then, each at its time."""
+        """Fires all timers due by `until`, each at its time; returns all effects."""
         out = []
         while self.engine.next_due() <= until:
             out += self.step_without_timers(max(self.now, self.engine.next_due()))
--- a/tests/platform_fixture.py
+++ b/tests/platform_fixture.py
@@ -1,4 +1,4 @@
-"""Small stand-ins for the platform: settings, an event bus, hosts and an owner, scripted, on loopback."""
+"""Simulated parts of the platform on loopback: settings, scripted event bus and hosts, an owner."""
 
 import json
 import time
@@ -78,8 +78,7 @@
 
 
 class Host:
-    """Takes what comes; `script` may say otherwise: called with (host, stream, frame), it answers True where it has
-    dealt with the frame."""
+    """Accepts all jobs. `script(host, stream, frame)` returns True for a frame that it has handled itself."""
 
     def __init__(self, script=None):
         self.script = script
@@ -111,11 +110,11 @@
                 for frame in reader.feed(await stream.receive()):
                     self.frames.append(frame)
                     if not (self.script and await self.script(self, stream, frame)):
-                        await self.usual(stream, frame)
+                        await self.default_reply(stream, frame)
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             self.streams.remove(stream)
 
-    async def usual(self, stream, frame):
+    async def default_reply(self, stream, frame):
         if frame.type == Type.SETUP:
             self.running.add(frame.task)
             await stream.send(answer(frame.task))
@@ -146,7 +145,7 @@
 
 
 class Bus:
-    """Answers each call with what it has by then; `on_call` may write something else and answer True."""
+    """Answers each call with the events so far; `on_call` returns True for a call it has answered itself."""
 
     def __init__(self, on_call=None):
         self.events, self.on_call, self.calls, self.changed = [], on_call, [], anyio.Event()
@@ -165,7 +164,7 @@
     async def run(self, *, task_status):
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         async with listener:
-            self.address = "127.0.0.1:%d" % listener.extra(anyio.abc.SocketAttribute.local_port)
+            self.address = f"127.0.0.1:{listener.extra(anyio.abc.SocketAttribute.local_port)}"
             task_status.started()
             await listener.serve(self.handle)
 
@@ -190,11 +189,11 @@
 
 
 class OwnerClient:
-    """One connection of an owner; `received` is all that came back, `closed` tells that it has ended."""
+    """One connection of an owner; `received` has all lines so far, `closed` is set once it has ended."""
 
     def __init__(self, stream):
-        self.stream, self.received, self.closed, self.came = stream, [], anyio.Event(), anyio.Event()
-        self.one = anyio.Lock()
+        self.stream, self.received, self.closed, self.arrival = stream, [], anyio.Event(), anyio.Event()
+        self.send_lock = anyio.Lock()
 
     async def read(self):
         reader = owner_codec.LineReader()
@@ -202,14 +201,14 @@
             while True:
                 for line in reader.feed(await self.stream.receive()):
                     self.received.append((line.type, line.id, line.cause, line.sdp))
-                    self.came.set()
-                    self.came = anyio.Event()
+                    self.arrival.set()
+                    self.arrival = anyio.Event()
         except (anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError):
             self.closed.set()
 
     async def send(self, kind, task, cause=None, sdp=None, **fields):
         line = {"type": kind, "id": task, "fields": fields, "cause": cause, "sdp": sdp}
-        async with self.one:
+        async with self.send_lock:
             await self.stream.send(
                 json.dumps({k: v for k, v in line.items() if v is not None}).encode() + b"\n"
             )
@@ -228,17 +227,19 @@
         )
 
     async def wait_for(self, kind, task, within=3.0):
-        """What came of that kind for the task."""
+        """The first line of that kind for the task."""
         with anyio.fail_after(within):
             while True:
-                came = self.came
-                found = [said for said in self.received if said[:2] == (kind, task)]
+                arrival = self.arrival
+                found = [line for line in self.received if line[:2] == (kind, task)]
                 if found:
                     return found[0]
-                await came.wait()
+                await arrival.wait()
 
 
 class PlatformCluster:
+    """The controller under test with its bus and hosts."""
+
     def __init__(self, tasks, service, bus, hosts_of, address):
         self.tasks, self.service, self.bus, self.hosts, self.address = tasks, service, bus, hosts_of, address
 
@@ -250,7 +251,7 @@
     def server_entry(self, name, state="SERVING", **rest):
         return {
             "id": name,
-            "addr": "127.0.0.1:%d" % self.hosts[name].port,
+            "addr": f"127.0.0.1:{self.hosts[name].port}",
             "kind": "std",
             "zone": "z",
             "cell": 0,
@@ -259,40 +260,40 @@
             "unasked": [36, 80],
         } | rest
 
-    async def wait_until(self, seconds, true):
+    async def wait_until(self, seconds, condition):
         with anyio.fail_after(seconds):
-            while not true():
+            while not condition():
                 await anyio.sleep(0.01)
 
 
 @asynccontextmanager
 async def platform_cluster(tmp_path, log, hosts_of=None, on_call=None, net=None, **rest):
-    """A service on loopback with its bus and its hosts."""
+    """Runs a controller on loopback with its bus and its hosts, h1 and h2 unless given."""
     hosts_of = hosts_of or {"h1": Host(), "h2": Host()}
     async with anyio.create_task_group() as tasks:
         bus = Bus(on_call)
         await tasks.start(bus.run)
         for host in hosts_of.values():
             await tasks.start(host.run)
-        place = PlatformCluster(tasks, None, bus, hosts_of, None)
-        bus.publish(*(place.server_entry(name) for name in hosts_of), full=True)
+        cluster = PlatformCluster(tasks, None, bus, hosts_of, None)
+        bus.publish(*(cluster.server_entry(name) for name in hosts_of), full=True)
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config_file(bus.address, bus.known(), **rest)))
-        place.service = Service(config.read(str(path)), str(path), net or TcpNet(), log)
-        place.address = await tasks.start(place.service.run)
-        place.path = path
+        cluster.service = Service(config.read(str(path)), str(path), net or TcpNet(), log)
+        cluster.address = await tasks.start(cluster.service.run)
+        cluster.path = path
         with anyio.fail_after(60):
-            yield place
+            yield cluster
         tasks.cancel_scope.cancel()
 
 
 def unix_ms_ago(seconds):
-    """A Unix millisecond so long ago."""
+    """The Unix time so many seconds ago, in milliseconds."""
     return int((time.time() - seconds) * 1000)
 
 
 def running_job_count(service, host):
-    """The jobs that the module counts on that host."""
+    """How many jobs the decision module counts on that host."""
     return len(service.engine.module.hosts[host].jobs)
 
 
--- a/tests/platform_processes.py
+++ b/tests/platform_processes.py
@@ -1,4 +1,4 @@
-"""Controllers on the platform's route as processes of their own, beside scripted hosts and a scripted bus in this one."""
+"""Controllers of the platform as processes of their own; hosts and bus are in the test's process."""
 
 import json
 import os
@@ -8,12 +8,11 @@
 
 import anyio
 
-from tests.platform_fixture import SETUP, OwnerClient, config_file
 from linedeal.net import TcpNet, parse_address
+from tests.platform_fixture import SETUP, OwnerClient, config_file
 
-
-# the program in a process that may hold so many files, on these cores
-BOUNDED = """
+# Runs the program with a limit on open files and bound to some cores; 0 or empty: unchanged.
+LIMITED_PROGRAM = """
 import os, resource, sys
 files, cores = int(sys.argv[1]), sys.argv[2]
 if files:
@@ -25,37 +24,37 @@
 
 
 class Process:
-    """One life of a controller; `log` is all that it has said, `address` where it listens."""
+    """A controller process; `log` has its log entries so far, `address` is where it listens."""
 
     def __init__(self, child):
         self.child, self.log, self.address, self.begun = child, [], None, time.monotonic()
-        self.up, self.over = anyio.Event(), anyio.Event()
+        self.ready, self.ended = anyio.Event(), anyio.Event()
 
     async def read(self):
         text = b""
         async for data in self.child.stderr:
             *lines, text = (text + data).split(b"\n")
             for line in lines:
-                said = json.loads(line) if line.startswith(b"{") else {"event": line.decode()}
-                self.log.append(said)
-                if said["event"] == "takes jobs":
-                    self.address = parse_address(said["address"])
-                    self.up.set()
-        self.over.set()
-        self.up.set()
+                entry = json.loads(line) if line.startswith(b"{") else {"event": line.decode()}
+                self.log.append(entry)
+                if entry["event"] == "takes jobs":
+                    self.address = parse_address(entry["address"])
+                    self.ready.set()
+        self.ended.set()
+        self.ready.set()
 
     def logged(self, event):
         return [line for line in self.log if line["event"] == event]
 
     async def connect(self):
         with anyio.fail_after(30):
-            await self.up.wait()
+            await self.ready.wait()
         assert self.address, self.log
         return OwnerClient(await TcpNet().connect(self.address))
 
 
 class Processes:
-    """Ends what it started, by process id."""
+    """Starts controllers; `end` kills and awaits all of them."""
 
     def __init__(self, tasks, folder):
         self.tasks, self.folder, self.all = tasks, folder, []
@@ -64,13 +63,19 @@
         path = self.folder / f"{name}.{len(self.all)}.json"
         path.write_text(
             json.dumps(
-                config_file(bus, known, sockets, setup) | {"name": name, "seed": "%x" % (len(self.all) + 1)}
+                config_file(bus, known, sockets, setup) | {"name": name, "seed": f"{len(self.all) + 1:x}"}
             )
         )
 
         program = [sys.executable, "-m", "linedeal.platform"]
         if max_files or cores:
-            program = [sys.executable, "-c", BOUNDED, str(max_files or 0), ",".join(map(str, cores or ()))]
+            program = [
+                sys.executable,
+                "-c",
+                LIMITED_PROGRAM,
+                str(max_files or 0),
+                ",".join(map(str, cores or ())),
+            ]
         child = await anyio.open_process(
             program,
             stdin=subprocess.DEVNULL,
--- a/tests/scenario_player.py
+++ b/tests/scenario_player.py
@@ -1,18 +1,20 @@
-"""Plays a scenario, a text file in this notation, against the decision module:
-
-    set KEY=VALUE ...                       settings other than the usual ones
-    offering NAME KEY=VALUE ...             an offering, or a change to one
-    host NAME KEY=VALUE ...                 how a host is listed from now on; `at T list` sends it
-    fleet N                                 hosts h0, h1 ... likewise; `T list *` names all hosts so far
-    T list NAMES | update NAMES | lost        a whole list, changed entries, a failed call
+"""Runs a scenario, a text in this notation, against the decision module:
+
+    set KEY=VALUE ...                       settings other than the defaults
+    offering NAME KEY=VALUE ...             adds or changes an offering
+    quota CUSTOMER CORES                    a customer's quota
+    host NAME KEY=VALUE ...                 sets how a host is listed from now on; `T list` sends it
+    fleet N                                 adds hosts h0, h1 ...; `T list *` names all hosts so far
+    T list NAMES | update NAMES | lost      a whole list, changed entries, a failed subscription
     T job ID OFFERING CORES/MEMORY SERVICE  also `found ID ... HOST` for one that runs already
-    T accept ID | started ID | usage ID CORES MEMORY | served ID SHARE | end ID RESULT [WHY] [closed] | withdraw ID
+    T accept ID | started ID | usage ID CORES MEMORY | served ID SHARE
+    T end ID RESULT [REASON] [closed] | withdraw ID
     T probe HOST CORES MEMORY | probe HOST -
-    T wait                                  lets time pass
+    T wait                                  advances the time
     > launch ID HOST[|HOST] or * | reject ID | writeoff ID | subscribe | probe HOST | nothing
 
-The lines behind > are all that was done since the line before them; probes and subscriptions count only where
-the file says `watch probe` or `watch subscribe`. Timers ring by themselves.
+T is the time in seconds; timers due by then fire first. The lines with > are all actions since the line
+before them, in order. Probes and subscriptions are checked only with `watch probe` or `watch subscribe`.
 """
 
 import dataclasses
@@ -57,7 +59,7 @@
 
 
 def changed(thing, words):
-    """The same record with KEY=VALUE words applied, each read as the type of the field.
+    """A copy of the record with KEY=VALUE words applied, each read as the type of the field.
 
     >>> changed(HOST, ["cell=3", "mode=draining"]).cell
     3
@@ -80,8 +82,8 @@
         self.lines, self.seed = text.splitlines(), seed
         self.settings, self.offerings, self.listed = SETTINGS, {"web": OFFERING}, {}
         self.kinds = {"std": api.HostKind(10.0, 20.0), "big": api.HostKind(20.0, 40.0)}
-        self.quotas, self.watched, self.host_of_job, self.timers = {}, set(), {}, []
-        self.done, self.controller, self.now = [], None, 0.0
+        self.quotas, self.checked_actions, self.host_of_job, self.timers = {}, set(), {}, []
+        self.actions, self.controller, self.now = [], None, 0.0
 
     def run(self):
         for number, line in enumerate(self.lines + ["end of file"], 1):
@@ -90,7 +92,7 @@
                 if words and words[0] == ">":
                     self.expect(words[1:])
                 elif words and words[0] == "end":
-                    assert not self.done, f"also did {self.done}"
+                    assert not self.actions, f"also did {self.actions}"
                 elif words:
                     self.line(words)
             except AssertionError as error:
@@ -103,7 +105,7 @@
         elif name == "quota":
             self.quotas[rest[0]] = float(rest[1])
         elif name == "watch":
-            self.watched.update(rest)
+            self.checked_actions.update(rest)
         elif name == "offering":
             old = self.offerings.get(rest[0], dataclasses.replace(OFFERING, name=rest[0]))
             self.offerings[rest[0]] = changed(old, rest[1:])
@@ -114,26 +116,26 @@
             for number in range(int(rest[0])):
                 self.line(["host", f"h{number}"])
         else:
-            assert not self.done, f"did {self.done}"
+            assert not self.actions, f"did {self.actions}"
             if self.controller is None:
                 settings = dataclasses.replace(
                     self.settings, offerings=self.offerings, kinds=self.kinds, quotas=self.quotas
                 )
                 self.controller = Controller(settings, self.seed, 0.0)
-                self.act(self.controller.begin())
-            self.pass_time(float(name))
+                self.perform(self.controller.begin())
+            self.advance(float(name))
             if rest[0] != "wait":
-                self.feed(self.event(*rest))
+                self.handle(self.event(*rest))
 
-    def pass_time(self, until):
+    def advance(self, until):
         while self.timers and self.timers[0][0] <= until:
             self.now, _, key = heapq.heappop(self.timers)
-            self.feed(api.TimerFired(key))
+            self.handle(api.TimerFired(key))
         self.now = until
 
-    def feed(self, event):
-        self.act(self.controller.handle(self.now, event))
-        self.act(self.controller.schedule_waiting(self.now))
+    def handle(self, event):
+        self.perform(self.controller.handle(self.now, event))
+        self.perform(self.controller.schedule_waiting(self.now))
 
     def event(self, name, *words):
         if name in ("list", "update"):
@@ -170,44 +172,44 @@
         if name == "served":
             return api.MetricReported(job_id, host, "served", float(words[1]))
         if name == "usage":
-            self.feed(api.MetricReported(job_id, host, "cores", float(words[1])))
+            self.handle(api.MetricReported(job_id, host, "cores", float(words[1])))
             return api.MetricReported(job_id, host, "memory", float(words[2]))
         if name == "end":
-            why = [word for word in words[2:] if word != "closed"]
+            reasons = [word for word in words[2:] if word != "closed"]
             return api.LaunchEnded(
                 job_id,
                 0,
                 host,
                 api.Result[words[1].upper()],
-                api.Reason[why[0].upper()] if why else api.Reason.UNTOLD,
+                api.Reason[reasons[0].upper()] if reasons else api.Reason.UNTOLD,
                 "closed" in words,
             )
         assert name == "withdraw", f"unknown word {name}"
         return api.JobWithdrawn(job_id)
 
-    def act(self, actions):
+    def perform(self, actions):
         for action in actions:
             match action:
                 case api.Launch(job, host):
                     self.host_of_job[job] = host
-                    self.done.append(("launch", job, host))
+                    self.actions.append(("launch", job, host))
                 case api.Reject(job):
-                    self.done.append(("reject", job))
+                    self.actions.append(("reject", job))
                 case api.WriteOff(job):
-                    self.done.append(("writeoff", job))
+                    self.actions.append(("writeoff", job))
                 case api.Timer(delay, key):
                     heapq.heappush(self.timers, (self.now + delay, len(self.timers), key))
-                case api.Subscribe() if "subscribe" in self.watched:
-                    self.done.append(("subscribe",))
-                case api.Probe(host) if "probe" in self.watched:
-                    self.done.append(("probe", host))
+                case api.Subscribe() if "subscribe" in self.checked_actions:
+                    self.actions.append(("subscribe",))
+                case api.Probe(host) if "probe" in self.checked_actions:
+                    self.actions.append(("probe", host))
 
     def expect(self, words):
         if words == ["nothing"]:
-            assert not self.done, f"did {self.done}"
+            assert not self.actions, f"did {self.actions}"
             return
-        assert self.done, "nothing was done"
-        did = self.done.pop(0)
-        assert len(did) == len(words) and all(b == "*" or a in b.split("|") for a, b in zip(did, words)), (
-            f"did {did}"
-        )
+        assert self.actions, "nothing was done"
+        actual = self.actions.pop(0)
+        assert len(actual) == len(words) and all(
+            b == "*" or a in b.split("|") for a, b in zip(actual, words, strict=False)
+        ), f"did {actual}"
--- a/tests/test_model.py
+++ b/tests/test_model.py
@@ -1,6 +1,7 @@
-"""A model of client, controller, hosts, journal and crashes, driven by hypothesis; the rules are checked at every step.
+"""Stateful hypothesis test of client, controller, hosts, journal and crashes; checks the rules at each step.
 
-In CI with a fixed seed. Longer: `LINEDEAL_MODEL_RUNS=2000 pytest tests/test_model.py`, with a new seed each time.
+The seed is fixed up to 150 runs. More runs: `LINEDEAL_MODEL_RUNS=2000 pytest tests/test_model.py`, with a new
+seed each time.
 """
 
 import os
@@ -12,9 +13,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from linedeal import interface as api
-from linedeal.engine import Engine
-from linedeal.engine import effects
-from linedeal.engine import events
+from linedeal.engine import Engine, effects, events
 from linedeal.engine.control import OrderKind
 from linedeal.settings.cluster import parse_cluster
 from linedeal.state import Store
@@ -28,39 +27,39 @@
 
 
 class Host:
-    """Holds launches; says yes, no, begun and over when the model tells it to."""
+    """A host that holds launches and accepts, refuses or ends them as the rules of the state machine say."""
 
     def __init__(self):
         self.boot, self.link, self.up = 1, 0, False
         self.life = 0
-        self.held: dict[events.LaunchId, list] = {}  # job, phase
-        self.queue: list[events.LaunchId] = []  # received and not looked at
+        self.held: dict[events.LaunchId, list] = {}  # job and phase
+        self.queue: list[events.LaunchId] = []  # received, not answered yet
         self.stops: list[events.LaunchId] = []
-        self.outbox: list[tuple] = []  # at the controller, until a link stands
+        self.outbox: list[tuple] = []  # launches that wait at the controller for a link
 
 
-class Controller(RuleBasedStateMachine):
+class ControllerMachine(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.place = tempfile.TemporaryDirectory()
+        self.directory = tempfile.TemporaryDirectory()
         self.cluster = parse_cluster(CLUSTER.replace("held = 5", "held = 50"))
         self.now, self.engine, self.crash_in = 100.0, None, None
         self.hosts = {name: Host() for name in HOSTS}
-        self.keys: dict[str, tuple] = {}  # offering, asked as
-        self.jobs: dict[str, str] = {}  # job: key
-        self.told: dict[str, set[str]] = {}  # key: verdicts
-        self.runs: dict[str, list] = {}  # job: (when, host) of each launch that reached a host's program
-        self.sent_after: list = []
+        self.keys: dict[str, tuple] = {}  # offering, and whether to hold the job
+        self.jobs: dict[str, str] = {}  # key by job id
+        self.verdicts: dict[str, set[str]] = {}  # verdicts by key
+        self.runs: dict[str, list] = {}  # time and host of each accepted launch, by job id
+        self.sent_after_answer: list = []
         self.links = 0
 
     @initialize()
     def start(self):
-        self.begin()
+        self.start_controller()
         for name in sorted(HOSTS):
             self.link(name)
 
-    def begin(self):
-        self.store = Store(Path(self.place.name))
+    def start_controller(self):
+        self.store = Store(Path(self.directory.name))
         self.life = self.store.next_life()
         self.journal = Journal(self.store, reserve_bytes=1 << 16)
         self.engine = Engine(self.cluster, "c", self.life, 7, self.now)
@@ -83,15 +82,15 @@
         )
 
     def feed(self, *received):
-        """One turn; False if the controller was killed in it."""
+        """One step of the engine; False if the controller was killed in it, or is not running."""
         if self.engine is None:
             return False
         for event in received:
             self.engine.put(event)
         emitted = self.engine.step(self.now)
-        keep = effects_to_persist(emitted)
-        units = [lambda: self.journal.write(self.now, self.life, keep)] if keep else []
-        units += [lambda effect=effect: self.carry(effect) for effect in emitted]
+        to_persist = effects_to_persist(emitted)
+        units = [lambda: self.journal.write(self.now, self.life, to_persist)] if to_persist else []
+        units += [lambda effect=effect: self.perform(effect) for effect in emitted]
         for unit in units:
             if self.crash_in is not None:
                 if self.crash_in == 0:
@@ -108,12 +107,12 @@
         for host in self.hosts.values():
             host.outbox.clear()
 
-    def carry(self, effect):
+    def perform(self, effect):
         match effect:
             case effects.SendLaunch(name, number, job):
                 host, launch = self.hosts[name], events.LaunchId(self.life, number)
-                if self.told.get(self.jobs.get(job.id)):
-                    self.sent_after.append((job.id, self.told[self.jobs[job.id]]))
+                if self.verdicts.get(self.jobs.get(job.id)):
+                    self.sent_after_answer.append((job.id, self.verdicts[self.jobs[job.id]]))
                 host.outbox.append((number, launch, job))
                 if host.up:
                     self.flush(name)
@@ -129,12 +128,12 @@
             case effects.AcceptJob(_, key, job):
                 self.jobs[job] = key
             case effects.Answer(_, key, _, verdict) if effect.client:
-                self.tell(key, verdict.value)
+                self.record_verdict(key, verdict.value)
             case effects.JobStatus(_, key, _, _, stage):
                 if stage.name in ("REJECTED", "WRITTEN_OFF"):
-                    self.tell(key, stage.value)
+                    self.record_verdict(key, stage.value)
                 elif stage.name not in ("HELD", "LATER", "WAITING"):
-                    self.tell(key, "placed")
+                    self.record_verdict(key, "placed")
 
     def flush(self, name):
         host = self.hosts[name]
@@ -144,8 +143,8 @@
             host.held[launch] = [job, events.Phase.QUEUED]
         host.outbox.clear()
 
-    def tell(self, key, verdict):
-        self.told.setdefault(key, set()).add(verdict)
+    def record_verdict(self, key, verdict):
+        self.verdicts.setdefault(key, set()).add(verdict)
 
     # -- the client
 
@@ -154,9 +153,9 @@
         for offering in offerings:
             key = f"k{len(self.keys)}"
             self.keys[key] = (offering, hold == 0)
-            self.ask(key)
+            self.submit_key(key)
 
-    def ask(self, key):
+    def submit_key(self, key):
         offering, hold = self.keys[key]
         self.feed(events.Submitted(1, key, offering, "", "v", 1.0, 1.0, 0.0, "s", follow=True, hold=hold))
 
@@ -165,22 +164,23 @@
     def order(self, data, kind):
         key = data.draw(st.sampled_from(sorted(self.keys)))
         if kind is None:
-            self.ask(key)
+            self.submit_key(key)
         else:
             self.feed(events.Ordered(1, "s", key, kind))
 
     # -- hosts
 
     @rule(
-        name=st.sampled_from(sorted(HOSTS)), what=st.sampled_from(["link", "unlink", "lose", "reborn", "end"])
+        name=st.sampled_from(sorted(HOSTS)),
+        what=st.sampled_from(["link", "unlink", "lose", "restart", "end"]),
     )
-    def trouble(self, name, what):
+    def trigger_host_event(self, name, what):
         {
             "link": self.link,
             "unlink": lambda name: self.unlink(name, False),
             "end": self.end,
             "lose": lambda name: self.unlink(name, True),
-            "reborn": self.reborn,
+            "restart": self.restart_host,
         }[what](name)
 
     def link(self, name):
@@ -189,16 +189,16 @@
             return
         self.links += 1
         host.link, host.up = self.links, True
-        if self.life > host.life:  # nothing of an earlier life is looked at any more
+        if self.life > host.life:  # launches of an earlier incarnation are dropped unanswered
             for launch in host.queue:
                 host.held.pop(launch, None)
             host.queue.clear()
             host.life = self.life
-        account = tuple(
+        inventory = tuple(
             events.HeldLaunch(launch, job, phase, *((api.Result.DONE,) if phase is events.Phase.OVER else ()))
             for launch, (job, phase) in host.held.items()
         )
-        if self.feed(events.LinkUp(name, host.link, host.boot, 99.0, account)) and host.up:
+        if self.feed(events.LinkUp(name, host.link, host.boot, 99.0, inventory)) and host.up:
             self.flush(name)
             self.feed()
 
@@ -207,13 +207,13 @@
         if host.up:
             host.up = False
             assert not host.outbox
-            if lose:  # what was on its way never came
+            if lose:  # launches in transit were lost
                 for launch in host.queue:
                     host.held.pop(launch, None)
                 host.queue.clear()
             self.feed(events.LinkDown(name, host.link))
 
-    def reborn(self, name):
+    def restart_host(self, name):
         host = self.hosts[name]
         host.boot += 1
         host.held.clear()
@@ -223,38 +223,38 @@
             self.feed(events.LinkDown(name, host.link))
 
     @precondition(lambda self: any(host.queue for host in self.hosts.values()))
-    @rule(said=st.lists(st.sampled_from(["yes", "unheard yes", "no"]), min_size=1, max_size=4))
-    def look(self, said):
-        """Hosts look at what they were offered, one after the other."""
-        for word in said:
+    @rule(answers=st.lists(st.sampled_from(["accept", "accept unheard", "refuse"]), min_size=1, max_size=4))
+    def host_answers(self, answers):
+        """Hosts answer the launches they have received, in order."""
+        for answer in answers:
             for name in sorted(HOSTS):
                 if self.hosts[name].queue:
-                    self.look_at(name, self.hosts[name], word)
-        for host in self.hosts.values():  # a stop may come too late for what it was to stop
+                    self.answer_launch(name, self.hosts[name], answer)
+        for host in self.hosts.values():  # after the answers, since a stop may arrive too late
             for launch in host.stops:
                 host.held.pop(launch, None)
             host.stops.clear()
 
-    def look_at(self, name, host, said):
+    def answer_launch(self, name, host, answer):
         launch = host.queue.pop(0)
         if launch not in host.held:
             return
         job = host.held[launch][0]
-        if said == "no":
+        if answer == "refuse":
             del host.held[launch]
         else:
             host.held[launch][1] = events.Phase.ACCEPTED
             self.runs.setdefault(job.id, []).append((self.now, name))
-        if host.up and said != "unheard yes":
+        if host.up and answer != "accept unheard":
             self.feed(
                 events.Refused(name, launch, api.Reason.CORES)
-                if said == "no"
+                if answer == "refuse"
                 else events.Accepted(name, launch)
             )
 
     def end(self, name):
         host = self.hosts[name]
-        for launch, (job, phase) in list(host.held.items()):
+        for launch, (_, phase) in list(host.held.items()):
             if phase is events.Phase.ACCEPTED:
                 host.held[launch][1] = events.Phase.OVER
                 if host.up:
@@ -288,12 +288,12 @@
     @precondition(lambda self: self.engine is None)
     @rule(
         linked=st.sets(st.sampled_from(sorted(HOSTS))),
-        reborn=st.sets(st.sampled_from(sorted(HOSTS)), max_size=2),
+        restarted=st.sets(st.sampled_from(sorted(HOSTS)), max_size=2),
     )
-    def restart(self, linked, reborn):
-        for name in sorted(reborn):
-            self.reborn(name)
-        self.begin()
+    def restart(self, linked, restarted):
+        for name in sorted(restarted):
+            self.restart_host(name)
+        self.start_controller()
         for name in sorted(linked):
             self.link(name)
 
@@ -301,12 +301,12 @@
 
     @invariant()
     def one_answer(self):
-        for key, verdicts in self.told.items():
+        for key, verdicts in self.verdicts.items():
             assert len(verdicts) == 1, (key, verdicts)
 
     @invariant()
     def nothing_after_the_answer(self):
-        assert not self.sent_after, self.sent_after
+        assert not self.sent_after_answer, self.sent_after_answer
 
     @invariant()
     def no_effect_twice(self):
@@ -318,7 +318,7 @@
                 first, host = runs[0]
                 for at, other in runs[1:]:
                     assert HOSTS[other] == HOSTS[host] and at <= first + WINDOW + EXPIRY, (job, runs)
-            if offering == "feed" and "rejected" in self.told.get(self.jobs.get(job), ()):
+            if offering == "feed" and "rejected" in self.verdicts.get(self.jobs.get(job), ()):
                 raise AssertionError(f"{job} was rejected and ran: {runs}")
 
     def offering_of(self, job):
@@ -329,13 +329,13 @@
         return ""
 
     def teardown(self):
-        """All that is not held is answered once the controller stands and time has passed."""
+        """Each job that is not held has its answer once the controller runs and time has passed."""
         try:
             if self.engine is None or self.crash_in is not None:
                 if self.engine is not None:
                     self.kill()
                 self.crash_in = None
-                self.begin()
+                self.start_controller()
             for name in sorted(HOSTS):
                 self.link(name)
             for _ in range(4):
@@ -346,15 +346,15 @@
                 if entry.stage.name == "HELD"
             }
             for key in self.jobs.values():
-                assert key in held or len(self.told.get(key, ())) == 1, (key, self.told.get(key))
+                assert key in held or len(self.verdicts.get(key, ())) == 1, (key, self.verdicts.get(key))
             self.no_effect_twice()
             self.nothing_after_the_answer()
         finally:
             self.store.close()
-            self.place.cleanup()
+            self.directory.cleanup()
 
 
-TestController = Controller.TestCase
+TestController = ControllerMachine.TestCase
 TestController.settings = settings(
     max_examples=RUNS,
     stateful_step_count=40,
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""What one turn may cost when hundreds of jobs lose their launches at once."""
+"""Bounds on the work of one scheduling pass when hundreds of jobs arrive, or lose their launches, at once."""
 
 from dataclasses import replace
 
@@ -10,7 +10,7 @@
 HOSTS, JOBS = 400, 300
 
 
-def test_a_lost_zones_launches_are_chosen_for_over_many_turns_not_in_one():
+def test_hosts_for_the_jobs_of_a_lost_zone_are_chosen_over_many_passes():
     settings = replace(
         SETTINGS,
         offerings={"web": replace(OFFERING, name="web", expiry=6.0)},
@@ -19,47 +19,48 @@
     )
     module, chosen, launched, timers = Controller(settings, 1, 0.0), [], [], []
 
-    def act(actions):
-        launched.extend(one for one in actions if type(one) is api.Launch)
-        timers.extend(one for one in actions if type(one) is api.Timer and one.delay == 0.0)
+    def record(actions):
+        launched.extend(action for action in actions if type(action) is api.Launch)
+        timers.extend(action for action in actions if type(action) is api.Timer and action.delay == 0.0)
 
-    act(module.begin())
+    record(module.begin())
     entries = tuple(
         api.HostEntry(f"h{n}", "std", "abc"[n % 3], n // 8, Mode.SERVING, -1000.0, None, None)
         for n in range(HOSTS)
     )
-    act(module.handle(0.0, api.HostsListed(entries, True)))
-    for number in range(JOBS):  # a turn each: calm
-        act(
+    record(module.handle(0.0, api.HostsListed(entries, True)))
+    for number in range(JOBS):  # each followed by a pass of its own
+        record(
             module.handle(
                 0.1, api.JobArrived(api.Job(f"j{number}", "web", "", f"s{number % 9}", 0.1, 0.1, 6.0))
             )
         )
-        act(module.schedule_waiting(0.1))
+        record(module.schedule_waiting(0.1))
     assert len(launched) == JOBS
-    true = module.choose_host
-    module.choose_host = lambda track: chosen.append(track) or true(track)
+    choose_host = module.choose_host
+    module.choose_host = lambda tracked: chosen.append(tracked) or choose_host(tracked)
     first, launched[:] = list(launched), []
-    for one in first:  # all in one turn: the connections of their hosts broke
-        act(
+    for launch in first:  # all before the same pass, as when the connections to their hosts break
+        record(
             module.handle(
-                0.2, api.LaunchEnded(one.job, 1, one.host, Result.UNREACHABLE, Reason.UNTOLD, False)
+                0.2, api.LaunchEnded(launch.job, 1, launch.host, Result.UNREACHABLE, Reason.UNTOLD, False)
             )
         )
-    act(module.schedule_waiting(0.2))
+    record(module.schedule_waiting(0.2))
     bound = MAX_HOST_EVALUATIONS // HOSTS
-    assert len(chosen) <= 2 * bound, f"{len(chosen)} choices among {HOSTS} hosts in one turn"
-    turns = 1
+    assert len(chosen) <= 2 * bound, f"{len(chosen)} choices among {HOSTS} hosts in one pass"
+    passes = 1
     while timers:
         timers.clear()
-        before, turns = len(chosen), turns + 1
-        act(module.schedule_waiting(0.2 + turns * 0.01))
+        before, passes = len(chosen), passes + 1
+        record(module.schedule_waiting(0.2 + passes * 0.01))
         assert len(chosen) - before <= bound
-    assert len(launched) == JOBS and turns >= JOBS // (2 * bound), "each is launched again, in turns to come"
+    assert len(launched) == JOBS and passes >= JOBS // (2 * bound), "each is launched again, in later passes"
 
 
-def test_jobs_that_come_by_the_hundred_ask_hosts_no_oftener_than_choices_are_made():
-    # who is asked next is found by looking at all hosts: for each of hundreds of jobs it made a turn long, and all answers late
+def test_a_burst_of_jobs_causes_no_more_probes_than_choices():
+    # the host to probe is found by examining all hosts; done for each of hundreds of jobs it delayed all
+    # answers
     settings = replace(
         SETTINGS,
         offerings={"web": replace(OFFERING, name="web", expiry=6.0)},
@@ -80,12 +81,14 @@
         ),
     )
     module.schedule_waiting(0.0)
-    for turn in range(1, 6):
-        asked = 0
+    for step in range(1, 6):
+        probes = 0
         for number in range(JOBS):
-            job = api.Job(f"j{turn}.{number}", "web", "", f"s{number % 9}", 0.1, 0.1, 6.0)
-            asked += sum(type(one) is api.Probe for one in module.handle(turn * 0.01, api.JobArrived(job)))
-        assert (turn == 1 or asked) and asked <= MAX_HOST_EVALUATIONS // HOSTS, (
-            f"{asked} hosts asked in one turn"
+            job = api.Job(f"j{step}.{number}", "web", "", f"s{number % 9}", 0.1, 0.1, 6.0)
+            probes += sum(
+                type(action) is api.Probe for action in module.handle(step * 0.01, api.JobArrived(job))
+            )
+        assert (step == 1 or probes) and probes <= MAX_HOST_EVALUATIONS // HOSTS, (
+            f"{probes} probes in one step"
         )
-        module.schedule_waiting(turn * 0.01)
+        module.schedule_waiting(step * 0.01)
