--- a/linedeal/policy.py
+++ b/linedeal/policy.py
@@ -30,8 +30,8 @@
 from linedeal.interface import Effect, Mode, Reason, Result, TopologyLevel
 
 # Cost function F = HOST_COST * hosts in use - LONE_TAZ_GAIN * hosts with exactly one taz. `taz` and `turtle`
-# are the paper's terms: a taz is a service whose jobs use nearly all the cores they request, any other is a
-# turtle.
+# are terms of the paper that the placement follows: a taz is a service whose jobs use nearly all the cores
+# they request, a turtle any other.
 HOST_COST = 1.0
 LONE_TAZ_GAIN = 2.0
 
@@ -175,9 +175,8 @@
     unresponsive_until: float = 0.0
     missed_answers: int = 0  # in a row
     refusals: int = 0  # in a row
-    ejections: dict = field(
-        default_factory=dict
-    )  # by offering and customer: end, and number of errors so far
+    # by offering and customer: end of the ejection, and number of errors so far
+    ejections: dict = field(default_factory=dict)
     send_times: deque = field(default_factory=lambda: deque(maxlen=500))
     programs: dict = field(default_factory=dict)  # launches of each service; 0: the host may keep its program
     probed_at: float = 0.0
@@ -355,8 +354,8 @@
         self.arrival_gap += ANSWER_TIME_WEIGHT * (gap - self.arrival_gap)
         # Probes the host that was probed longest ago. At most one probe for each job and no more than the
         # choices of a pass, since finding that host examines all hosts. No probe where a round over all hosts
-        # takes so long that its figures are out of date by the end. Drawback: hosts whose recovery only a
-        # probe would show.
+        # takes so long that its figures are out of date by the end. Drawback: where only a probe would show
+        # that a host has recovered.
         if (
             self.choices_left > 0
             and self.settings.may_probe
@@ -455,7 +454,7 @@
             if self.now >= tracked.job.expiry - EXPIRY_MARGIN:
                 value = None
                 continue
-            # a lost zone releases hundreds of jobs at once; choosing for all in one step delayed other
+            # a lost zone releases hundreds of jobs at once; choosing for all in one step delayed other jobs'
             # answers
             self.choices_left -= 1
             value = self.choose_host(tracked) if self.choices_left >= 0 else None
@@ -506,7 +505,8 @@
                 self.set_timer(self.next_slot - now, "room")
             return None
         # Hosts with a late answer come last: they may be overloaded, hung or cut off before any launch there
-        # has failed, or start slowly. Drawback: one job alone that is slow to answer also diverts jobs.
+        # has failed. Also covers hosts that start slowly. Drawback: a single job that is slow to answer also
+        # diverts jobs.
         candidates = [
             candidate for candidate in candidates if candidate[2].answer_due > self.now
         ] or candidates
@@ -597,13 +597,18 @@
         ]
         reported = [host for host in hosts if host.others_requested]
         if reported:
-            s = (
-                self.settings
-            )  # bounded by what a host accepts, so that one host's wrong figure does not dominate
+            # bounded by what a host accepts, so that one host's wrong figure does not dominate
+            settings = self.settings
             self.mean_requested = (
-                sum(min(s.accepts_cores, host.others_requested[0] / host.size.cores) for host in reported)
+                sum(
+                    min(settings.accepts_cores, host.others_requested[0] / host.size.cores)
+                    for host in reported
+                )
                 / len(reported),
-                sum(min(s.accepts_memory, host.others_requested[1] / host.size.memory) for host in reported)
+                sum(
+                    min(settings.accepts_memory, host.others_requested[1] / host.size.memory)
+                    for host in reported
+                )
                 / len(reported),
             )
 
