--- a/linedeal/cli_campaign.py
+++ b/linedeal/cli_campaign.py
@@ -20,11 +20,11 @@
 
     def told(cluster, key, work):
         from linedeal.duties.duty import DutyError
-        from linedeal.fleet.operator import Unlearned
+        from linedeal.fleet.operator import CouncilUnavailableError
 
         try:
             return asked(cluster, key, work)
-        except (DutyError, Unlearned) as error:
+        except (DutyError, CouncilUnavailableError) as error:
             raise fault(str(error), 1) from None
 
     @campaign.command(
@@ -60,10 +60,10 @@
         from linedeal.duties.campaign import batches
         from linedeal.fleet import operator
 
-        choice = operator.Choice(
+        choice = operator.HostSelection(
             tuple(filter(None, hosts.split(","))), tuple(kind or ()), tuple(zone or ()), tuple(cell or ())
         )
-        if not every and choice == operator.Choice():
+        if not every and choice == operator.HostSelection():
             raise fault("which hosts: --hosts, --kind, --zone, --cell or --all", 2)
         given = {
             name: value
@@ -83,11 +83,11 @@
             if settings.campaign.tool is None:
                 raise fault(f"{cluster}: it has no block campaign", 1)
             mine = settings.campaign.bounds
-            plan = operator.planned(
-                name, await operator.hosts(asker, within / 2), choice, replace(mine, **given), mine
+            plan = operator.plan_campaign(
+                name, await operator.list_hosts(asker, within / 2), choice, replace(mine, **given), mine
             )
             if not dry_run:
-                await operator.begin(asker, plan, within / 2)
+                await operator.start_campaign(asker, plan, within / 2)
             return plan
 
         plan = told(cluster, key, work)
@@ -120,7 +120,7 @@
         from linedeal.duties.campaign import describe_progress
         from linedeal.fleet import operator
 
-        stands = told(cluster, key, lambda asker, settings: operator.standing(asker, within))
+        stands = told(cluster, key, lambda asker, settings: operator.campaign_status(asker, within))
         plan, progress = stands.plan, stands.progress
         if plan is None:
             raise fault("there has been no campaign", 1)
@@ -164,7 +164,9 @@
             from linedeal.fleet import operator
 
             told(
-                cluster, key, lambda asker, settings: operator.wish(asker, campaign_name, Want[want], within)
+                cluster,
+                key,
+                lambda asker, settings: operator.change_campaign(asker, campaign_name, Want[want], within),
             )
             print(f"{campaign_name} {says}")
 
--- a/linedeal/cli_fleet.py
+++ b/linedeal/cli_fleet.py
@@ -31,7 +31,7 @@
 
     def asked(cluster: str, key: Optional[str], work):
         """What `work(asker, cluster)` returns, with an asker that lives meanwhile."""
-        from linedeal.fleet.asker import Asker, CouncilFault
+        from linedeal.fleet.council_client import CouncilClient, CouncilRequestError
         from linedeal.net import TcpNet
         from linedeal.settings.cluster import read_cluster
 
@@ -40,12 +40,14 @@
             raise fault(f"{cluster}: council: it names no members", 1)
 
         async def main():
-            async with Asker(settings.council, "an operator", key_in(key), TcpNet(), random.random) as asker:
+            async with CouncilClient(
+                settings.council, "an operator", key_in(key), TcpNet(), random.random
+            ) as asker:
                 return await work(asker, settings)
 
         try:
             return run(main)
-        except CouncilFault as error:
+        except CouncilRequestError as error:
             raise fault(str(error), 1) from None
 
     # only now: it takes its options from here
@@ -124,7 +126,7 @@
         """Who owns which duty, and by which token."""
         from linedeal.council.records import Outcome
         from linedeal.duties import duty as kept
-        from linedeal.fleet.office import DUTIES
+        from linedeal.fleet.duty_service import DUTIES
 
         async def work(asker, settings):
             found = {}
@@ -174,15 +176,15 @@
         """Takes a duty from its owner. What the owner still sends is refused once the next has begun."""
         from linedeal.duties.duty import DutyError
         from linedeal.fleet import operator
-        from linedeal.fleet.office import DUTIES
+        from linedeal.fleet.duty_service import DUTIES
 
         if f"duty/{duty}" not in DUTIES:
             raise fault(f"no duty {duty}: {', '.join(name.partition('/')[2] for name in DUTIES)}", 2)
         try:
             was = asked(
-                cluster, key, lambda asker, settings: operator.hand(asker, f"duty/{duty}", to, within)
+                cluster, key, lambda asker, settings: operator.hand_over(asker, f"duty/{duty}", to, within)
             )
-        except (DutyError, operator.Unlearned) as error:
+        except (DutyError, operator.CouncilUnavailableError) as error:
             raise fault(str(error), 1) from None
         print(f"{duty} is taken from {was.owner}")
 
--- a/linedeal/controller/runtime.py
+++ b/linedeal/controller/runtime.py
@@ -131,13 +131,13 @@
         if not council.members:
             return
         # imported here, so that controllers without a council do not load it
-        from linedeal.fleet.apart import run_apart
-        from linedeal.fleet.office import Office
-        from linedeal.fleet.service import Council
+        from linedeal.fleet.council_service import CouncilService
+        from linedeal.fleet.duty_service import DutyService
+        from linedeal.fleet.isolation import run_isolated
 
         if self.setup.name in council.places:
             address = self.setup.council_listen or council.places[self.setup.name]
-            member = Council(
+            member = CouncilService(
                 council,
                 self.setup.name,
                 self.store.path.parent,
@@ -147,8 +147,8 @@
                 self.log,
                 hosts=self.hosts_now,
             )
-            self.tasks.start_soon(run_apart, "council", member.run, self.log)
-        self.duty_service = Office(
+            self.tasks.start_soon(run_isolated, "council", member.run, self.log)
+        self.duty_service = DutyService(
             council,
             self.setup.name,
             self.life,
@@ -159,7 +159,7 @@
             self.setup.cluster.campaign,
             self.hosts_now,
         )
-        self.tasks.start_soon(run_apart, "duties", self.duty_service.run, self.log)
+        self.tasks.start_soon(run_isolated, "duties", self.duty_service.run, self.log)
 
     def hosts_now(self):
         """The hosts of the last host list and its age in seconds, for the fleet's duties."""
--- a/linedeal/fleet/release.py
+++ b/linedeal/fleet/campaign_duty.py
@@ -13,26 +13,26 @@
 from linedeal.duties.campaign import PLAN_KEY, Plan, Progress
 from linedeal.duties.campaign_runner import CampaignRunner, OrderKind, Order
 from linedeal.duties.duty import DutyError
-from linedeal.fleet.asker import Asker
+from linedeal.fleet.council_client import CouncilClient
 from linedeal.fleet.hosts import HostsNow
 from linedeal.fleet.orders import Orderer
 from linedeal.net import LinkLostError, parse_address
 from linedeal.settings.records import CampaignSettings
 
-CAMPAIGN = "duty/campaign"
+CAMPAIGN_DUTY = "duty/campaign"
 EVERY = 0.5  # seconds between two looks while one runs
 IDLE = 2.0  # ... while none does
 ORDER = 1.0  # seconds for an order to be answered by a host
 TOOL = 30.0  # ... by the tool, which replaces a host meanwhile
 
 
-class Release:
+class CampaignDuty:
     """`hosts()` gives the controller's list; `latest()` its last census, if any."""
 
     def __init__(
         self,
         settings: CampaignSettings,
-        asker: Asker,
+        asker: CouncilClient,
         orderer: Orderer,
         answer: float,
         hosts: Callable[[], HostsNow],
@@ -98,7 +98,7 @@
                 if host is None or not host.address:
                     return
                 address, within = parse_address(host.address), ORDER
-            reply = await self.orderer.send(address, order, CAMPAIGN, owned.token(), within)
+            reply = await self.orderer.send(address, order, CAMPAIGN_DUTY, owned.token(), within)
             if reply is not None:
                 if not reply.done and course.order_errors.get(order.host) != reply.reason:
                     self.log.warning(
--- a/linedeal/fleet/asker.py
+++ b/linedeal/fleet/council_client.py
@@ -7,7 +7,7 @@
 import anyio
 
 from linedeal.council.records import Change, Outcome, Value
-from linedeal.fleet.peers import open_to_member
+from linedeal.fleet.peer_link import open_to_member
 from linedeal.net import Address, LinkLostError, Net
 from linedeal.protocol import VERSION, encode, pb
 from linedeal.settings.records import CouncilSettings
@@ -18,19 +18,19 @@
 NO_ANSWER = (Outcome.BUSY, Outcome.UNREADY, Outcome.UNKNOWN)  # another member may have one
 
 
-class CouncilFault(Exception):
+class CouncilRequestError(Exception):
     """What was asked cannot be; one plain line, from the member."""
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class CouncilReply:
     outcome: Outcome
     value: Value
     by: str  # the member that answered; empty: none did
     silent: tuple[str, ...] = ()  # members that were asked and said nothing, with why
 
 
-class Asker:
+class CouncilClient:
     """Use as an async context manager inside a task group's life. One link a member, made when it is needed."""
 
     def __init__(
@@ -60,24 +60,24 @@
                 raise error[1] from None
             raise
 
-    async def read(self, key: str, within: float) -> Told:
+    async def read(self, key: str, within: float) -> CouncilReply:
         return await self.ask(pb.CouncilAsk(kind=pb.READ, key=key), within)
 
-    async def change(self, key: str, change: Change, within: float) -> Told:
+    async def change(self, key: str, change: Change, within: float) -> CouncilReply:
         """UNKNOWN: it may or may not have been made; ask the same again."""
         return await self.ask(
             pb.CouncilAsk(kind=pb.CHANGE, key=key, id=change.id, expect=change.expect, body=change.body),
             within,
         )
 
-    async def ask(self, said: pb.CouncilAsk, within: float) -> Told:
-        """From the member that answered last on; raises CouncilFault."""
+    async def ask(self, said: pb.CouncilAsk, within: float) -> CouncilReply:
+        """From the member that answered last on; raises CouncilRequestError."""
         until = anyio.current_time() + within
         silent: dict[str, str] = {}  # why each that was asked has no answer, last heard last
         for member in itertools.cycle(tuple(self.order)):
             left = until - anyio.current_time()
             if left <= 0:
-                return Told(Outcome.UNKNOWN, Value(), "", lines(silent))
+                return CouncilReply(Outcome.UNKNOWN, Value(), "", lines(silent))
             silent.pop(member, None)
             try:
                 told = await self.ask_one(member, said, min(left, SLICE))
@@ -91,17 +91,17 @@
         if self.order[0] != member and member != self.own:  # itself stays last, also where it alone was up
             self.order.remove(member)
             self.order.insert(0, member)
-        return Told(outcome, Value(told.version, told.body), member, lines(silent))
+        return CouncilReply(outcome, Value(told.version, told.body), member, lines(silent))
 
     async def ask_member(self, member: str, said: pb.CouncilAsk, within: float) -> pb.CouncilTold | None:
         """This member and no other; None where it does not answer."""
         try:
             return await self.ask_one(member, said, within)
-        except (LinkLostError, CouncilFault):
+        except (LinkLostError, CouncilRequestError):
             return None
 
     async def ask_one(self, member: str, said: pb.CouncilAsk, within: float) -> pb.CouncilTold:
-        """Raises LinkLostError where it does not answer in time, CouncilFault where it refuses."""
+        """Raises LinkLostError where it does not answer in time, CouncilRequestError where it refuses."""
         link = self.links.get(member)
         if link is None or link.lost:
             link = self.links[member] = MemberLink()
@@ -111,7 +111,7 @@
         mine.number, mine.within = next(self.numbers), within
         told = await link.ask(mine, within)
         if told.outcome == "FAULT":
-            raise CouncilFault(f"{member}: {told.body.decode(errors='replace')}")
+            raise CouncilRequestError(f"{member}: {told.body.decode(errors='replace')}")
         if told.outcome not in Outcome.__members__:
             raise LinkLostError(f"an outcome of a later version: {told.outcome[:40]}")
         return told
--- a/linedeal/fleet/hall.py
+++ b/linedeal/fleet/council_listener.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Asker:
+class ClientLink:
     """One link of a controller or an operator."""
 
     name: str
@@ -31,7 +31,7 @@
         self.wake.set()
 
 
-class Hall:
+class CouncilListener:
     """`heard(packet)` and `asked(asker, message)` are the service's; both may wait for room."""
 
     def __init__(self, name: str, settings: CouncilSettings, net: Net, heard, asked, log):
@@ -52,7 +52,7 @@
             if hello.role == pb.MEMBER:
                 await self.listen(link, who)
             else:
-                await self.serve(Asker(who, link))
+                await self.serve(ClientLink(who, link))
         except LinkLostError as error:
             if str(error) != "closed by the other side":
                 self.log.warning("council lets go", who=who, reason=str(error))
@@ -94,10 +94,10 @@
                     raise LinkLostError(f"it said hello as {name} and speaks as {packet.sender.name[:64]}")
                 await self.heard(packet)
 
-    async def serve(self, asker: Asker) -> None:
+    async def serve(self, asker: ClientLink) -> None:
         await run_until_link_lost(self.read(asker), self.write(asker))
 
-    async def read(self, asker: Asker) -> None:
+    async def read(self, asker: ClientLink) -> None:
         while True:
             try:
                 with anyio.fail_after(IDLE):
@@ -111,7 +111,7 @@
                     raise LinkLostError(f"it leaves {ANSWERS} answers unread")
                 await self.asked(asker, message)
 
-    async def write(self, asker: Asker) -> None:
+    async def write(self, asker: ClientLink) -> None:
         while True:
             await asker.wake.wait()
             asker.wake = anyio.Event()
--- a/linedeal/fleet/service.py
+++ b/linedeal/fleet/council_service.py
@@ -29,10 +29,10 @@
 )
 from linedeal.duties import census
 from linedeal.duties.duty import DutyError
-from linedeal.fleet.disk import CouncilDisk
-from linedeal.fleet.hall import Asker, Hall
+from linedeal.fleet.council_store import CouncilStore
+from linedeal.fleet.council_listener import ClientLink, CouncilListener
 from linedeal.fleet.hosts import HostsNow, encoded_hosts
-from linedeal.fleet.peers import PeerLink
+from linedeal.fleet.peer_link import PeerLink
 from linedeal.net import Address, Net
 from linedeal.protocol import VERSION, encode, pb
 from linedeal.settings.records import CouncilSettings
@@ -50,11 +50,11 @@
 class Wanted:
     """An ask as it came in."""
 
-    asker: Asker
+    asker: ClientLink
     said: pb.CouncilAsk
 
 
-class Council:
+class CouncilService:
     """`seat` is the address of this member's council; `token` proves that it may speak to the others; `hosts()` gives
     the hosts as this member's controller has them."""
 
@@ -79,7 +79,7 @@
             for peer, address in settings.places.items()
             if peer != name
         }
-        self.hall = Hall(name, settings, net, self.heard, self.asked, log)
+        self.hall = CouncilListener(name, settings, net, self.heard, self.asked, log)
         self.put, self.taken = anyio.create_memory_object_stream(QUEUE)
         self.asks: dict[int, Wanted] = {}  # whom each answer is for
         self.numbers = 0
@@ -110,7 +110,7 @@
     async def heard(self, packet: Packet) -> None:
         await self.put.send(packet)
 
-    async def asked(self, asker: Asker, said: pb.CouncilAsk) -> None:
+    async def asked(self, asker: ClientLink, said: pb.CouncilAsk) -> None:
         await self.put.send(Wanted(asker, said))
 
     async def refuse_all(self) -> None:
@@ -123,7 +123,7 @@
     # --- one life
 
     async def live(self) -> None:
-        disk = await anyio.to_thread.run_sync(CouncilDisk, self.directory, self.name, self.settings.id)
+        disk = await anyio.to_thread.run_sync(CouncilStore, self.directory, self.name, self.settings.id)
         try:
             member = Member(
                 disk.identity,
@@ -180,7 +180,7 @@
             self.fault(got, str(fault))
         return []
 
-    async def carry_out(self, disk: CouncilDisk, out: list) -> None:
+    async def carry_out(self, disk: CouncilStore, out: list) -> None:
         keeps = [one for one in out if type(one) is Persist]
         if keeps:
             await anyio.to_thread.run_sync(disk.write, keeps)
--- a/linedeal/fleet/disk.py
+++ b/linedeal/fleet/council_store.py
@@ -15,7 +15,7 @@
 FILE = "council.db"
 
 
-class CouncilDisk:
+class CouncilStore:
     """One process at a time. Raises StoreError, one plain line that names the file."""
 
     def __init__(self, directory: str | Path, name: str, cluster: str):
--- a/linedeal/fleet/office.py
+++ b/linedeal/fleet/duty_service.py
@@ -15,17 +15,17 @@
 from linedeal.duties import census
 from linedeal.duties.duty import DutyError
 from linedeal.duties.holder import Gained, Holder, LeaseTiming, Lost, Saved, HolderState
-from linedeal.fleet.asker import Asker, CouncilFault
+from linedeal.fleet.council_client import CouncilClient, CouncilRequestError
 from linedeal.fleet.hosts import HostsNow
 from linedeal.fleet.orders import Orderer
-from linedeal.fleet.release import CAMPAIGN, Release
+from linedeal.fleet.campaign_duty import CAMPAIGN_DUTY, CampaignDuty
 from linedeal.protocol import pb
 from linedeal.settings.records import CampaignSettings, CouncilSettings
 
 REPORT_EVERY = 2.0  # seconds
 CENSUS_EVERY = 3.0
-CENSUS = "duty/census"  # the register of the duty; its result is in another
-DUTIES = (CENSUS, CAMPAIGN)
+CENSUS_DUTY = "duty/census"  # the register of the duty; its result is in another
+DUTIES = (CENSUS_DUTY, CAMPAIGN_DUTY)
 
 
 class NotOwned(Exception):
@@ -58,7 +58,13 @@
     """One duty at one controller."""
 
     def __init__(
-        self, name: str, who: str, asker: Asker, timing: LeaseTiming, work: Callable[[Owned], Awaitable], log
+        self,
+        name: str,
+        who: str,
+        asker: CouncilClient,
+        timing: LeaseTiming,
+        work: Callable[[Owned], Awaitable],
+        log,
     ):
         self.name, self.asker, self.work, self.log = name, asker, work, log
         self.holder = Holder(name, who, True, random.Random(who).random, anyio.current_time(), timing)
@@ -105,7 +111,7 @@
                 told = await self.asker.read(ask.key, within)
             else:
                 told = await self.asker.change(ask.key, ask.change, within)
-        except CouncilFault as fault:
+        except CouncilRequestError as fault:
             self.log.error("council refuses", duty=self.name, reason=str(fault))
             return
         self.carry_out(
@@ -124,7 +130,7 @@
                 self.carry_out(self.holder.resign(anyio.current_time()))
 
 
-class Office:
+class DutyService:
     """`sees()` gives the sums and figures of this controller, for its report; `hosts()` its list."""
 
     def __init__(
@@ -157,13 +163,13 @@
 
     async def run(self) -> None:
         async with (
-            Asker(self.settings, self.name, self.token, self.net, self.spread) as self.asker,
+            CouncilClient(self.settings, self.name, self.token, self.net, self.spread) as self.asker,
             anyio.create_task_group() as tasks,
         ):
             who = f"{self.name}/{self.life}"
-            works = {CENSUS: self.take_census}
+            works = {CENSUS_DUTY: self.take_census}
             if self.campaign.tool is not None:
-                release = Release(
+                release = CampaignDuty(
                     self.campaign,
                     self.asker,
                     Orderer(self.settings, who, self.token, self.net),
@@ -172,7 +178,7 @@
                     lambda: self.census,
                     self.log,
                 )
-                works[CAMPAIGN] = release.work
+                works[CAMPAIGN_DUTY] = release.work
             self.desks = [
                 Desk(duty, who, self.asker, self.timing, work, self.log) for duty, work in works.items()
             ]
@@ -200,7 +206,7 @@
                 )
                 if told.outcome is Outcome.READ and told.value.body:
                     self.heard(census.decode(told.value.body, census.Census))
-            except (CouncilFault, DutyError) as fault:
+            except (CouncilRequestError, DutyError) as fault:
                 self.log.warning("not reported", reason=str(fault))
 
     def heard(self, fresh: census.Census) -> None:
--- a/linedeal/fleet/apart.py
+++ b/linedeal/fleet/isolation.py
@@ -5,12 +5,15 @@
 
 import anyio
 
-ANEW = (1.0, 60.0)  # seconds after a fault until it is begun anew, doubled from the first to the second
+RESTART_DELAY = (
+    1.0,
+    60.0,
+)  # seconds after a fault until it is begun anew, doubled from the first to the second
 
 
-async def run_apart(where: str, work: Callable[[], Awaitable[None]], log) -> None:
+async def run_isolated(where: str, work: Callable[[], Awaitable[None]], log) -> None:
     """Until it ends by itself. A fault ends what it was at, and it begins anew: what it owned, others take over."""
-    pause = ANEW[0]
+    pause = RESTART_DELAY[0]
     while True:
         try:
             await work()
@@ -18,4 +21,4 @@
         except Exception:
             log.error("fault", where=where, trace=traceback.format_exc())
         await anyio.sleep(pause)
-        pause = min(2 * pause, ANEW[1])
+        pause = min(2 * pause, RESTART_DELAY[1])
--- a/linedeal/fleet/operator.py
+++ b/linedeal/fleet/operator.py
@@ -9,19 +9,19 @@
 from linedeal.duties import campaign, duty as duties
 from linedeal.duties.campaign import PLAN_KEY, Mode, Plan, Progress, Want
 from linedeal.duties.duty import Duty, DutyError
-from linedeal.fleet.asker import Asker, Told
+from linedeal.fleet.council_client import CouncilClient, CouncilReply
 from linedeal.fleet.hosts import HostNow, HostsNow, read_hosts
-from linedeal.fleet.release import CAMPAIGN
+from linedeal.fleet.campaign_duty import CAMPAIGN_DUTY
 from linedeal.protocol import pb
 from linedeal.settings.records import Bounds
 
 
-class Unlearned(Exception):
+class CouncilUnavailableError(Exception):
     """What was asked for could not be learned in time; one plain line with who said nothing."""
 
 
 @dataclass(frozen=True, slots=True)
-class Choice:
+class HostSelection:
     """Which hosts: all that fit each of what is named."""
 
     names: tuple[str, ...] = ()
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class CampaignStatus:
     plan: Plan | None
     version: int  # of the plan's register
     duty: Duty
@@ -53,18 +53,20 @@
         return self.plan is not None and not (self.progress.id == self.plan.id and self.progress.ended)
 
 
-def learned(told: Told, what: str) -> Told:
+def require_read(told: CouncilReply, what: str) -> CouncilReply:
     if told.outcome is not Outcome.READ:
-        raise Unlearned(f"{what}: {told.outcome.value}" + "".join(f"; {one}" for one in told.silent))
+        raise CouncilUnavailableError(
+            f"{what}: {told.outcome.value}" + "".join(f"; {one}" for one in told.silent)
+        )
     return told
 
 
-async def standing(asker: Asker, within: float) -> Standing:
-    """Raises Unlearned, DutyError. Within that time in all, as the others here."""
-    plan = learned(await asker.read(PLAN_KEY, within / 2), "the campaign's plan")
-    owned = learned(await asker.read(CAMPAIGN, within / 2), "the campaign's owner")
+async def campaign_status(asker: CouncilClient, within: float) -> CampaignStatus:
+    """Raises CouncilUnavailableError, DutyError. Within that time in all, as the others here."""
+    plan = require_read(await asker.read(PLAN_KEY, within / 2), "the campaign's plan")
+    owned = require_read(await asker.read(CAMPAIGN_DUTY, within / 2), "the campaign's owner")
     duty = duties.decode(owned.value.body)
-    return Standing(
+    return CampaignStatus(
         campaign.decode(plan.value.body, Plan),
         plan.value.version,
         duty,
@@ -72,12 +74,14 @@
     )
 
 
-async def hosts(asker: Asker, within: float) -> HostsNow:
-    """As the member that answers first has them. Raises Unlearned."""
-    return read_hosts(learned(await asker.ask(pb.CouncilAsk(kind=pb.HOSTS), within), "the hosts").value.body)
+async def list_hosts(asker: CouncilClient, within: float) -> HostsNow:
+    """As the member that answers first has them. Raises CouncilUnavailableError."""
+    return read_hosts(
+        require_read(await asker.ask(pb.CouncilAsk(kind=pb.HOSTS), within), "the hosts").value.body
+    )
 
 
-def planned(id: str, now: HostsNow, choice: Choice, bounds: Bounds, mine: Bounds) -> Plan:
+def plan_campaign(id: str, now: HostsNow, choice: HostSelection, bounds: Bounds, mine: Bounds) -> Plan:
     """Raises DutyError where it could not be carried out. `mine`: the cluster file's bounds, which no plan may pass."""
     fleet = {name: (host.kind, host.cell) for name, host in now.hosts.items() if host.mode is not Mode.GONE}
     if absent := [name for name in choice.names if name not in fleet]:
@@ -87,9 +91,9 @@
     return campaign.validate(campaign.make_plan(id, chosen, fleet, bounds.within(mine)), view)
 
 
-async def begin(asker: Asker, plan: Plan, within: float) -> None:
-    """Raises DutyError, Unlearned."""
-    stands = await standing(asker, within / 2)
+async def start_campaign(asker: CouncilClient, plan: Plan, within: float) -> None:
+    """Raises DutyError, CouncilUnavailableError."""
+    stands = await campaign_status(asker, within / 2)
     if stands.plan is not None and stands.plan.id == plan.id:
         raise DutyError(f"{plan.id} has been: a campaign's name is used once")
     if stands.runs:
@@ -99,9 +103,9 @@
     await put(asker, plan, stands.version, within / 2)
 
 
-async def wish(asker: Asker, id: str, want: Want, within: float) -> Standing:
-    """Raises DutyError, Unlearned."""
-    stands = await standing(asker, within / 2)
+async def change_campaign(asker: CouncilClient, id: str, want: Want, within: float) -> CampaignStatus:
+    """Raises DutyError, CouncilUnavailableError."""
+    stands = await campaign_status(asker, within / 2)
     if stands.plan is None or stands.plan.id != id:
         raise DutyError(f"no campaign {id} runs" + (f"; {stands.plan.id} does" if stands.runs else ""))
     if not stands.runs:
@@ -113,13 +117,13 @@
     return stands
 
 
-async def hand(asker: Asker, name: str, heir: str, within: float) -> Duty:
+async def hand_over(asker: CouncilClient, name: str, heir: str, within: float) -> Duty:
     """Takes the duty from its owner, for whoever comes or for `heir`, a controller's name and life. Returns it as it was.
-    Raises DutyError, Unlearned."""
+    Raises DutyError, CouncilUnavailableError."""
     until = anyio.current_time() + within
     was = None
     while True:
-        told = learned(await asker.read(name, until - anyio.current_time()), name)
+        told = require_read(await asker.read(name, until - anyio.current_time()), name)
         duty = duties.decode(told.value.body)
         if was is not None and (duty.owner, duty.token) != (was.owner, was.token):
             raise DutyError(f"{duty.owner or 'nobody'} has it meanwhile: look at it again")
@@ -133,14 +137,16 @@
             return duty
 
 
-def made(told: Told, conflict: str, what: str) -> None:
+def made(told: CouncilReply, conflict: str, what: str) -> None:
     if told.outcome is Outcome.CONFLICT:
         raise DutyError(conflict)
     if told.outcome is not Outcome.DONE:
-        raise Unlearned(f"{what}: {told.outcome.value}" + "".join(f"; {one}" for one in told.silent))
+        raise CouncilUnavailableError(
+            f"{what}: {told.outcome.value}" + "".join(f"; {one}" for one in told.silent)
+        )
 
 
-async def put(asker: Asker, plan: Plan, version: int, within: float) -> None:
+async def put(asker: CouncilClient, plan: Plan, version: int, within: float) -> None:
     change = Change(f"operator/{uuid.uuid4().hex}", version, campaign.encode(plan))
     made(
         await asker.change(PLAN_KEY, change, within),
--- a/linedeal/lab/director.py
+++ b/linedeal/lab/director.py
@@ -5,7 +5,7 @@
 import anyio
 
 from linedeal.duties.duty import DutyError
-from linedeal.fleet.operator import Unlearned
+from linedeal.fleet.operator import CouncilUnavailableError
 from linedeal.lab.day import Day, Order
 from linedeal.lab.load import Owners
 from linedeal.lab.playground import Playground
@@ -32,7 +32,10 @@
     async def play(self, order: Order, begun: float) -> None:
         try:
             await self.play_through(order, begun)
-        except (DutyError, Unlearned) as error:  # what an operator is told, and may be told in any day
+        except (
+            DutyError,
+            CouncilUnavailableError,
+        ) as error:  # what an operator is told, and may be told in any day
             self.say(f"        {order.verb}: {error}")
             await self.ground.mark("refused", f"{order.verb}: {error}")
 
--- a/linedeal/lab/operating.py
+++ b/linedeal/lab/operating.py
@@ -5,7 +5,7 @@
 from linedeal.duties import duty as duties
 from linedeal.duties.campaign import Plan, Want
 from linedeal.fleet import operator
-from linedeal.fleet.asker import Asker
+from linedeal.fleet.council_client import CouncilClient
 from linedeal.net import TcpNet
 from linedeal.settings.cluster import read_cluster
 from linedeal.settings.records import Bounds
@@ -21,8 +21,8 @@
     def __init__(self, cluster_path: str):
         self.cluster = read_cluster(cluster_path)
 
-    def asker(self) -> Asker:
-        return Asker(self.cluster.council, "an operator", "", TcpNet(), random.random)
+    def council_client(self) -> CouncilClient:
+        return CouncilClient(self.cluster.council, "an operator", "", TcpNet(), random.random)
 
     async def begin(self, name: str, hosts: tuple[str, ...], bounds: dict[str, str]) -> Plan:
         mine = self.cluster.campaign.bounds
@@ -33,38 +33,44 @@
                 for key in mine.__dataclass_fields__
             }
         )
-        async with self.asker() as asker:
+        async with self.council_client() as client:
             for left in reversed(range(TRIES)):
                 try:
-                    known = (await operator.standing(asker, WITHIN)).plan if left < TRIES - 1 else None
+                    known = (
+                        (await operator.campaign_status(client, WITHIN)).plan if left < TRIES - 1 else None
+                    )
                     if known is not None and known.id == name:
                         return known  # it was made, and nobody could say so in time
-                    plan = operator.planned(
-                        name, await operator.hosts(asker, WITHIN), operator.Choice(hosts), wanted, mine
+                    plan = operator.plan_campaign(
+                        name,
+                        await operator.list_hosts(client, WITHIN),
+                        operator.HostSelection(hosts),
+                        wanted,
+                        mine,
                     )
-                    await operator.begin(asker, plan, WITHIN)
+                    await operator.start_campaign(client, plan, WITHIN)
                     return plan
-                except operator.Unlearned:
+                except operator.CouncilUnavailableError:
                     if not left:
                         raise
 
     async def wish(self, name: str, wish: str) -> None:
-        async with self.asker() as asker:
-            await operator.wish(asker, name, WISHES[wish], WITHIN)
+        async with self.council_client() as client:
+            await operator.change_campaign(client, name, WISHES[wish], WITHIN)
 
     async def hand(self, duty: str, heir: str = "") -> None:
-        async with self.asker() as asker:
-            await operator.hand(asker, f"duty/{duty}", heir, WITHIN)
+        async with self.council_client() as client:
+            await operator.hand_over(client, f"duty/{duty}", heir, WITHIN)
 
     async def owner(self, duty: str) -> str:
-        """The controller that has it; raises Unlearned, and DutyError where nobody has."""
-        async with self.asker() as asker:
-            told = operator.learned(await asker.read(f"duty/{duty}", WITHIN), duty)
+        """The controller that has it; raises CouncilUnavailableError, and DutyError where nobody has."""
+        async with self.council_client() as client:
+            told = operator.require_read(await client.read(f"duty/{duty}", WITHIN), duty)
         owner = duties.decode(told.value.body).owner.partition("/")[0]
         if not owner:
             raise duties.DutyError(f"nobody owns {duty}")
         return owner
 
-    async def standing(self) -> operator.Standing:
-        async with self.asker() as asker:
-            return await operator.standing(asker, WITHIN)
+    async def standing(self) -> operator.CampaignStatus:
+        async with self.council_client() as client:
+            return await operator.campaign_status(client, WITHIN)
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -28,7 +28,7 @@
 from linedeal.duties.census import Census
 from linedeal.duties.duty import Duty, DutyError
 from linedeal.fleet.hosts import HostNow, HostsNow
-from linedeal.fleet.operator import Choice, planned
+from linedeal.fleet.operator import HostSelection, plan_campaign
 from linedeal.lab.record import Recorder
 from linedeal.lab.releases import Trouble, played
 from linedeal.protocol import encode, pb
@@ -215,13 +215,21 @@
         }
     )
     wide = replace(BOUNDS, room=1.0)
-    assert planned("r", hosts, Choice(kinds=("std",), zones=("a",)), wide, wide).targets == ("h1", "h3")
-    assert planned("r", hosts, Choice(cells=(0, 3)), wide, wide).targets == ("h0", "h1", "h6", "h7")
-    assert planned("r", hosts, Choice(("h1",)), replace(wide, most=9), wide).bounds.most == 2, (
+    assert plan_campaign("r", hosts, HostSelection(kinds=("std",), zones=("a",)), wide, wide).targets == (
+        "h1",
+        "h3",
+    )
+    assert plan_campaign("r", hosts, HostSelection(cells=(0, 3)), wide, wide).targets == (
+        "h0",
+        "h1",
+        "h6",
+        "h7",
+    )
+    assert plan_campaign("r", hosts, HostSelection(("h1",)), replace(wide, most=9), wide).bounds.most == 2, (
         "the cluster file's"
     )
     with pytest.raises(DutyError, match="h9"):
-        planned("r", hosts, Choice(("h1", "h9")), wide, wide)
+        plan_campaign("r", hosts, HostSelection(("h1", "h9")), wide, wide)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -11,11 +11,11 @@
 from linedeal.council.records import Change, Outcome
 from linedeal.duties import census, duty
 from linedeal.duties.duty import DutyError
-from linedeal.fleet import apart, operator
-from linedeal.fleet.asker import Asker
-from linedeal.fleet.disk import CouncilDisk
-from linedeal.fleet.office import CENSUS
-from linedeal.fleet.service import Council
+from linedeal.fleet import isolation, operator
+from linedeal.fleet.council_client import CouncilClient
+from linedeal.fleet.council_store import CouncilStore
+from linedeal.fleet.duty_service import CENSUS_DUTY
+from linedeal.fleet.council_service import CouncilService
 from linedeal.lab.day import parse_day
 from linedeal.lab.play import QUIET
 from linedeal.lab.processes import Processes
@@ -47,7 +47,7 @@
 class Fleet:
     """Five controllers, three of them members, and two hosts; a sampler that reads the council all the time."""
 
-    def __init__(self, ground: Processes, asker: Asker):
+    def __init__(self, ground: Processes, asker: CouncilClient):
         self.ground, self.asker = ground, asker
         self.duties: list[duty.Duty] = []
         self.results: list[census.Census] = []
@@ -55,7 +55,7 @@
     async def sample(self) -> None:
         while True:
             for name, kept, read in (
-                (CENSUS, self.duties, duty.decode),
+                (CENSUS_DUTY, self.duties, duty.decode),
                 (census.CENSUS_KEY, self.results, self.result),
             ):
                 told = await self.asker.read(name, 1.0)
@@ -114,7 +114,7 @@
         with anyio.fail_after(240):
             async with Processes(day, directory / "day") as ground:
                 settings = read_cluster(ground.cluster_path).council
-                async with Asker(settings, "sampler", "", TcpNet(), lambda: 0.5) as asker:
+                async with CouncilClient(settings, "sampler", "", TcpNet(), lambda: 0.5) as asker:
                     fleet = Fleet(ground, asker)
                     async with anyio.create_task_group() as tasks:
                         tasks.start_soon(fleet.sample)
@@ -139,7 +139,7 @@
 
     async def main():
         settings = CouncilSettings("x", places={name: ("127.0.0.1", 9) for name in ("c1", "c2", "c3")})
-        async with Asker(settings, "c1/1", "", TcpNet(), lambda: 0.5) as asker:
+        async with CouncilClient(settings, "c1/1", "", TcpNet(), lambda: 0.5) as asker:
 
             async def ask_one(member, said, within):
                 asked.append(member)
@@ -224,7 +224,7 @@
     async def course(fleet):
         for _ in range(20):  # within a minute, where the machine has nothing else to do
             token = fleet.token()
-            await operator.hand(fleet.asker, CENSUS, "", 20.0)
+            await operator.hand_over(fleet.asker, CENSUS_DUTY, "", 20.0)
             await fleet.until(lambda: fleet.token() > token and fleet.owner(), 40)
         number = fleet.results[-1].token
         await fleet.until(
@@ -243,7 +243,7 @@
         await until_status(fleet, "c1", lambda stands: "c3" in stands["candidates"])
         token = fleet.token()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(operator.hand, fleet.asker, CENSUS, "", 8.0)
+            tasks.start_soon(operator.hand_over, fleet.asker, CENSUS_DUTY, "", 8.0)
             told = await fleet.asker.ask(pb.CouncilAsk(kind=pb.REPLACE, key="c3", id="c3"), 8.0)
         assert told.outcome is Outcome.DONE
         await until_status(fleet, "c3", lambda stands: stands["votes"] and stands["epoch"] == 2)
@@ -255,13 +255,13 @@
 def test_two_duties_ask_one_member_at_once_over_one_link(tmp_path):
     async def main():
         settings = CouncilSettings(id="lapa", places={"c1": ("127.0.0.1", 0)})
-        council = Council(settings, "c1", tmp_path, ("127.0.0.1", 0), "", TcpNet(), QUIET)
+        council = CouncilService(settings, "c1", tmp_path, ("127.0.0.1", 0), "", TcpNet(), QUIET)
         answers = []
         async with anyio.create_task_group() as tasks:
             with anyio.fail_after(30):
                 seat = await tasks.start(council.run)
                 async with (
-                    Asker(
+                    CouncilClient(
                         replace(settings, places={"c1": seat}), "tester", "", TcpNet(), lambda: 0.5
                     ) as asker,
                     anyio.create_task_group() as asks,
@@ -282,7 +282,7 @@
 def test_a_refusal_inside_an_askers_block_comes_out_as_it_is():
     async def main():
         settings = CouncilSettings(id="lapa", places={"c1": ("127.0.0.1", 1)})
-        async with Asker(settings, "tester", "", TcpNet(), lambda: 0.5) as asker:
+        async with CouncilClient(settings, "tester", "", TcpNet(), lambda: 0.5) as asker:
             await asker.read("x", 0.2)
             raise DutyError("as it is")
 
@@ -291,7 +291,7 @@
 
 
 def test_a_fault_of_the_fleets_part_begins_it_anew(monkeypatch):
-    monkeypatch.setattr(apart, "ANEW", (0.01, 0.02))
+    monkeypatch.setattr(isolation, "RESTART_DELAY", (0.01, 0.02))
     lives = []
 
     async def work():
@@ -301,7 +301,7 @@
 
     async def main():
         with anyio.fail_after(5):
-            await apart.run_apart("duties", work, QUIET)
+            await isolation.run_isolated("duties", work, QUIET)
 
     anyio.run(main)
     assert len(lives) == 4
@@ -362,21 +362,21 @@
 def test_who_asked_is_told_when_the_disk_fails_and_the_next_life_goes_on(tmp_path, monkeypatch):
     async def main():
         settings = CouncilSettings(id="lapa", places={"c1": ("127.0.0.1", 0)})
-        council = Council(settings, "c1", tmp_path, ("127.0.0.1", 0), "", TcpNet(), QUIET)
+        council = CouncilService(settings, "c1", tmp_path, ("127.0.0.1", 0), "", TcpNet(), QUIET)
         async with anyio.create_task_group() as tasks:
             with anyio.fail_after(15):
                 seat = await tasks.start(council.run)
-                async with Asker(
+                async with CouncilClient(
                     replace(settings, places={"c1": seat}), "tester", "", TcpNet(), lambda: 0.5
                 ) as asker:
                     assert (await asker.change("x", Change("x1", 0, b"x"), 5.0)).outcome is Outcome.DONE
-                    real = CouncilDisk.write
+                    real = CouncilStore.write
 
                     def full(disk, keeps):
-                        monkeypatch.setattr(CouncilDisk, "write", real)
+                        monkeypatch.setattr(CouncilStore, "write", real)
                         raise StoreError("disk full")
 
-                    monkeypatch.setattr(CouncilDisk, "write", full)
+                    monkeypatch.setattr(CouncilStore, "write", full)
                     change = pb.CouncilAsk(kind=pb.CHANGE, key="x", id="x2", expect=1, body=b"y")
                     told = await asker.ask_member("c1", change, 0.9)
                     assert told.outcome == "UNKNOWN" and not council.asks
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -9,7 +9,7 @@
 from linedeal import audit
 from linedeal.audit.duties import carried_out, judge_duties
 from linedeal.duties.duty import DutyError
-from linedeal.fleet.operator import Unlearned
+from linedeal.fleet.operator import CouncilUnavailableError
 from linedeal.lab.day import DayFault, parse_day
 from linedeal.lab.play import play
 from linedeal.lab.processes import Processes
@@ -103,7 +103,7 @@
     async def until(self, holds, within=20.0):
         with anyio.move_on_after(within):
             while True:
-                with suppress(Unlearned):  # no majority at this moment
+                with suppress(CouncilUnavailableError):  # no majority at this moment
                     if await holds():
                         return
                 await anyio.sleep(0.2)
@@ -113,7 +113,7 @@
         return bool((await self.ground.operator.standing()).duty.owner)
 
     async def all_vote(self):
-        async with self.ground.operator.asker() as asker:
+        async with self.ground.operator.council_client() as asker:
             told = [
                 await asker.ask_member(member, pb.CouncilAsk(kind=pb.STATUS), 1.0)
                 for member in ("c1", "c2", "c3")
