--- a/benchmarks/bad_days.py
+++ b/benchmarks/bad_days.py
@@ -66,8 +66,8 @@
         ]
         day = parse_day("\n".join([*lines, f"seed {seed}", *DAYS[trouble]]), "bad.day", path)
         tally, entries = play_in_memory(day, policy=POLICIES[policy])
-    traffic = audit.gather(entries)
-    return job, report.earned(traffic, day, tally.asked), len(audit.judge(traffic, day.cluster))
+    traffic = audit.reconstruct_traffic(entries)
+    return job, report.earned(traffic, day, tally.asked), len(audit.find_breaches(traffic, day.cluster))
 
 
 def main():
--- a/benchmarks/controller_pace.py
+++ b/benchmarks/controller_pace.py
@@ -98,7 +98,7 @@
                         await link.send(bytes(out))
 
         address = await tasks.start(self.net.serve, ("127.0.0.1", 0), handle)
-        discovery.heard[name] = (
+        discovery.reports[name] = (
             anyio.current_time() + 1e6,
             pb.HostEntry(
                 id=name,
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -18,7 +18,7 @@
 import anyio
 
 from linedeal import audit
-from linedeal.audit.duties import campaigns, judge_duties
+from linedeal.audit.duties import campaign_outcomes, find_duty_breaches
 from linedeal.client.client import Client, JobAsk
 from linedeal.lab.day import Day, parse_day
 from linedeal.lab.load import Owners, Tally
@@ -158,12 +158,12 @@
             print(f"{arguments.changes} changes in {time.monotonic() - begun:.0f} s")
             await ground.order("tap", {"flush": True})
             await anyio.sleep(1.0)
-        traffic = audit.gather(read_record(Path(place) / "day" / "traffic.jsonl"))
+        traffic = audit.reconstruct_traffic(read_record(Path(place) / "day" / "traffic.jsonl"))
     marks = [(t, what, who) for t, what, who in traffic.marks if what == "fault"]
     firsts: dict[int, float] = {}
     for order in traffic.orders:
         firsts[order.token] = min(
-            firsts.get(order.token, float("inf")), order.told if order.done else float("inf")
+            firsts.get(order.token, float("inf")), order.answered_at if order.done else float("inf")
         )
     gaps: dict[str, list[float]] = {}
     for (t, _, _), (fault, token) in zip(marks, faults):
@@ -182,13 +182,13 @@
     refused = [
         order
         for order in traffic.orders
-        if not order.done and order.told < float("inf") and order.token < order.highest
+        if not order.done and order.answered_at < float("inf") and order.token < order.highest_token
     ]
     print(
         f"orders {len(traffic.orders)}; of old owners that reached a host: {len(refused)} refused, "
-        f"{len([b for b in judge_duties(traffic, day.cluster) if b.claim == 'tokens'])} carried out"
+        f"{len([b for b in find_duty_breaches(traffic, day.cluster) if b.claim == 'tokens'])} carried out"
     )
-    print("claims broken:", judge_duties(traffic, day.cluster) or "none")
+    print("claims broken:", find_duty_breaches(traffic, day.cluster) or "none")
 
 
 async def out_of(operator):
@@ -371,18 +371,22 @@
                     tasks.cancel_scope.cancel()
                 await ground.order("tap", {"flush": True})
                 await anyio.sleep(1.0)
-            traffic = audit.gather(read_record(Path(place) / "day" / "traffic.jsonl"))
+            traffic = audit.reconstruct_traffic(read_record(Path(place) / "day" / "traffic.jsonl"))
         lost = sum(
             launch.outcome == pb.LOST or launch.lost < launch.ended
             for launch in traffic.launches.values()
             if launch.started < float("inf")
         )
-        late = [job for job in traffic.jobs.values() if not job.said or job.said[0][1] != pb.PLACED]
-        _, progress = campaigns(traffic)[0]
+        late = [
+            job
+            for job in traffic.jobs.values()
+            if not job.reported_verdicts or job.reported_verdicts[0][1] != pb.PLACED
+        ]
+        _, progress = campaign_outcomes(traffic)[0]
         print(
             f"{name}: {len(progress.done)} of {arguments.hosts} hosts in {length:.0f} s; {lost} of "
             f"{len(traffic.launches)} launches lost with their host, {len(late)} of {len(traffic.jobs)} jobs not placed, "
-            f"{asked / (length + 3):.1f} jobs/s asked; claims broken: {len(judge_duties(traffic, day.cluster))}",
+            f"{asked / (length + 3):.1f} jobs/s asked; claims broken: {len(find_duty_breaches(traffic, day.cluster))}",
             flush=True,
         )
 
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -106,11 +106,11 @@
         for name in ("c1", "c2"):
             tasks.start_soon(load, name)
         tasks.start_soon(killer)
-    traffic = audit.gather(ground.recorder.entries)
-    for breach in audit.judge(traffic, ground.day.cluster):
+    traffic = audit.reconstruct_traffic(ground.recorder.entries)
+    for breach in audit.find_breaches(traffic, ground.day.cluster):
         found[f"rule {breach.rule} broken"] += 1
     for job in traffic.jobs.values():
-        found["answered twice"] += len({verdict for _, verdict in job.answers + job.told}) > 1
+        found["answered twice"] += len({verdict for _, verdict in job.answers + job.status_verdicts}) > 1
         if job.offering == "feed":
             found["irreversible run twice"] += sum(launch.started < 1e9 for launch in job.launches) > 1
     return found
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -26,7 +26,7 @@
 from linedeal.settings.cluster import parse_cluster
 from linedeal.standin.discovery import Discovery
 from linedeal.standin.host import HostServer
-from linedeal.standin.model import Copy, Habits, HostModel
+from linedeal.standin.model import HeldLaunch, HostBehavior, HostModel
 from linedeal.state import Store, journal_clock
 from linedeal.state.journal import Journal
 
@@ -90,20 +90,20 @@
                 name,
                 "std",
                 cluster,
-                Habits(life=1e6, queue=10**6, starts=10**6),
+                HostBehavior(life=1e6, queue=10**6, starts=10**6),
                 1,
                 Random(name),
                 anyio.current_time(),
                 False,
             )
             for number, job in copies:
-                copy = Copy(
+                copy = HeldLaunch(
                     ("c", 1, number),
                     pb.JobSpec(id=job.id, offering=job.offering, service=job.service, cores=1.0, memory=1.0),
                     1.0,
                     pb.RUNNING,
                 )
-                model.copies[copy.id] = copy
+                model.launches[copy.id] = copy
             await tasks.start(HostServer(model, net, ("discovery", 1), f"{name}:1", "z", 0).run, (name, 1))
         await anyio.sleep(0.5)
         began = time.perf_counter()
--- a/linedeal/audit/__init__.py
+++ b/linedeal/audit/__init__.py
@@ -1,6 +1,6 @@
 """Judges a record of traffic by the five rules. Knows the protocol and the cluster's settings, not the controller."""
 
-from linedeal.audit.rules import RULES, Breach, judge
-from linedeal.audit.traffic import Traffic, gather
+from linedeal.audit.rules import RULES, Breach, find_breaches
+from linedeal.audit.traffic import Traffic, reconstruct_traffic
 
-__all__ = ["RULES", "Breach", "Traffic", "gather", "judge"]
+__all__ = ["RULES", "Breach", "Traffic", "reconstruct_traffic", "find_breaches"]
--- a/linedeal/audit/duties.py
+++ b/linedeal/audit/duties.py
@@ -3,7 +3,7 @@
 
 from dataclasses import dataclass
 
-from linedeal.audit.traffic import CAMPAIGN, NEVER, PLAN, LaunchSeen, OrderSeen, Traffic
+from linedeal.audit.traffic import CAMPAIGN, NEVER, PLAN, ObservedLaunch, ObservedOrder, Traffic
 from linedeal.duties import campaign
 from linedeal.duties.campaign import Plan, Progress, Stage
 from linedeal.duties.duty import DutyError, decode
@@ -30,7 +30,7 @@
     text: str
 
 
-def judge_duties(traffic: Traffic, cluster: Cluster) -> list[DutyBreach]:
+def find_duty_breaches(traffic: Traffic, cluster: Cluster) -> list[DutyBreach]:
     """Every breach, in order of time; empty when all claims hold."""
     found = [
         *tokens(traffic),
@@ -43,14 +43,14 @@
     return sorted(found, key=lambda breach: (breach.t, breach.claim, breach.text))
 
 
-def carried_out(traffic: Traffic) -> list[OrderSeen]:
+def executed_orders(traffic: Traffic) -> list[ObservedOrder]:
     return [order for order in traffic.orders if order.done and order.kind != pb.HOST_LOOK]
 
 
 def tokens(traffic: Traffic):
-    places: dict[tuple[str, str], list[OrderSeen]] = {}
+    places: dict[tuple[str, str], list[ObservedOrder]] = {}
     owners: dict[tuple[str, int], str] = {}
-    for order in carried_out(traffic):
+    for order in executed_orders(traffic):
         places.setdefault((order.to, order.duty), []).append(order)
     for order in traffic.orders:
         if owners.setdefault((order.duty, order.token), order.owner) != order.owner:
@@ -62,13 +62,13 @@
             )
     for (place, duty), orders in places.items():
         for late in orders:
-            before = max((other.token for other in orders if other.told < late.came), default=0)
-            if late.token < max(before, late.highest):
+            before = max((other.token for other in orders if other.answered_at < late.came), default=0)
+            if late.token < max(before, late.highest_token):
                 yield DutyBreach(
                     "tokens",
-                    late.told,
+                    late.answered_at,
                     f"{place} carried out token {late.token} of {duty} by {late.owner} "
-                    f"after {max(before, late.highest)}",
+                    f"after {max(before, late.highest_token)}",
                 )
 
 
@@ -110,11 +110,11 @@
 
 def twice(traffic: Traffic):
     replaced: dict[tuple[str, str], float] = {}  # since when, by campaign and host
-    for order in carried_out(traffic):
+    for order in executed_orders(traffic):
         if order.kind == pb.HOST_REPLACE:
             key = order.campaign, order.host
-            replaced[key] = min(replaced.get(key, NEVER), order.told)
-    for order in carried_out(traffic):
+            replaced[key] = min(replaced.get(key, NEVER), order.answered_at)
+    for order in executed_orders(traffic):
         since = replaced.get((order.campaign, order.host), NEVER)
         if order.kind == pb.HOST_DRAIN and order.came > since:
             yield DutyBreach(
@@ -132,9 +132,11 @@
         return min((t for t in starts.get(host, ()) if t > since), default=NEVER)
 
     drained: dict[tuple[str, int], float] = {}
-    for order in carried_out(traffic):
+    for order in executed_orders(traffic):
         if order.kind == pb.HOST_DRAIN:
-            drained[order.host, order.boot] = min(drained.get((order.host, order.boot), NEVER), order.told)
+            drained[order.host, order.boot] = min(
+                drained.get((order.host, order.boot), NEVER), order.answered_at
+            )
     out: dict[str, list] = {}
     dead: dict[str, list] = {}
     for (host, _), since in drained.items():
@@ -151,31 +153,31 @@
     plans = plans_of(traffic)
     out, dead = spans_of(traffic)
     stands, seen = standing_since(traffic), set()
-    for order in sorted(carried_out(traffic), key=lambda order: order.told):
+    for order in sorted(executed_orders(traffic), key=lambda order: order.answered_at):
         if order.kind != pb.HOST_DRAIN or (order.host, order.boot) in seen:
             continue
         seen.add((order.host, order.boot))
         planned_at = min(
-            order.told, stands.get((order.campaign, order.host, order.boot, Stage.DRAINS), NEVER)
+            order.answered_at, stands.get((order.campaign, order.host, order.boot, Stage.DRAINS), NEVER)
         )
         plan = plans.get(order.campaign)
         bounds = cluster.campaign.bounds if plan is None else plan.bounds.within(cluster.campaign.bounds)
         away = {order.host} | {
-            host for host, spans in out.items() if any(a < order.told < b for a, b in spans)
+            host for host, spans in out.items() if any(a < order.answered_at < b for a, b in spans)
         }
         away |= {host for host, spans in dead.items() if any(a + KNOWN < planned_at < b for a, b in spans)}
         away = sorted(host for host in away if plan is None or host in plan.fleet)
         if len(away) > bounds.most:
             yield DutyBreach(
                 "limit",
-                order.told,
+                order.answered_at,
                 f"{len(away)} hosts are out as {order.host} drains "
                 f"({campaign.format_hosts(away)}), {bounds.most} may be",
             )
         if plan is not None and len(cells := {plan.fleet[host][1] for host in away}) > bounds.cells:
             yield DutyBreach(
                 "limit",
-                order.told,
+                order.answered_at,
                 f"hosts of {len(cells)} cells are out as {order.host} drains, {bounds.cells} may be",
             )
 
@@ -194,7 +196,7 @@
                     yield DutyBreach("irreversible", t, f"{who} was replaced under {launch.job.id}")
 
 
-def over_unheard(traffic: Traffic, launch: LaunchSeen, t: float) -> bool:
+def over_unheard(traffic: Traffic, launch: ObservedLaunch, t: float) -> bool:
     """An end that comes while its controller is away is told to nobody before that one's next link, and may go with the
     host. Over by the host's own word, then: asked after the last link that knew of it had ended, it drained, so that
     nothing new came, and held no irreversible job. While a link stands, only what is told on it counts."""
@@ -203,12 +205,12 @@
         and order.at == launch.boot
         and order.clear
         and launch.unheard < order.came
-        and order.told < t
+        and order.answered_at < t
         for order in traffic.orders
     )
 
 
-def campaigns(traffic: Traffic) -> list[tuple[Plan, Progress]]:
+def campaign_outcomes(traffic: Traffic) -> list[tuple[Plan, Progress]]:
     """Each plan that was made, as last changed, with the last progress that stood."""
     last = {progress.id: progress for _, made, progress in progresses(traffic) if made < NEVER}
     return [(plan, last.get(plan.id, Progress())) for plan in plans_of(traffic).values()]
@@ -224,6 +226,6 @@
 
 
 def ends(traffic: Traffic):
-    for plan, progress in campaigns(traffic):
+    for plan, progress in campaign_outcomes(traffic):
         if not (progress.ended or progress.stands or progress.out):
             yield DutyBreach("ends", traffic.end, f"{plan.id} neither ended nor says why it stands")
--- a/linedeal/audit/rules.py
+++ b/linedeal/audit/rules.py
@@ -3,7 +3,7 @@
 from bisect import bisect_right
 from dataclasses import dataclass
 
-from linedeal.audit.traffic import NEVER, JobSeen, LaunchSeen, Traffic
+from linedeal.audit.traffic import NEVER, ObservedJob, ObservedLaunch, Traffic
 from linedeal.interface import Effect, TopologyLevel
 from linedeal.protocol import pb
 from linedeal.settings.records import Cluster
@@ -28,7 +28,7 @@
     text: str
 
 
-def judge(traffic: Traffic, cluster: Cluster) -> list[Breach]:
+def find_breaches(traffic: Traffic, cluster: Cluster) -> list[Breach]:
     """Every breach, in order of rule and time; empty when all five were kept."""
     found = [Breach(rule, t, text) for t, rule, text in traffic.doubled]
     for job in traffic.jobs.values():
@@ -65,7 +65,7 @@
     return t
 
 
-def answered_once(traffic, cluster, job: JobSeen):
+def answered_once(traffic, cluster, job: ObservedJob):
     offering = offering_of(cluster, job)
     wait = min(job.wait or offering.expiry, offering.expiry)
     due = stood_until(traffic, job.controller, max(job.taken, job.began) + wait) + cluster.rules.answer_slack
@@ -74,7 +74,7 @@
         due, gone = told_by(traffic, job, due), NEVER if not job.aside else 0.0
     else:
         gone = min(killed(traffic, job.controller, job.taken), job.left)
-    said = job.said
+    said = job.reported_verdicts
     if not said:
         if gone > due and traffic.end > due:
             yield Breach(1, due, f"{job.id} ({job.offering}) was taken at {job.taken:.3f} and never answered")
@@ -103,7 +103,7 @@
             )
 
 
-def told_by(traffic: Traffic, job: JobSeen, due: float) -> float:
+def told_by(traffic: Traffic, job: ObservedJob, due: float) -> float:
     """When the answer has to have been told: at `due`, or soon after a link of its session stands again."""
     end = NEVER
     for opened, ended, _ in traffic.sessions.get((job.controller, job.session), ()):
@@ -118,7 +118,7 @@
 # -- rule 2
 
 
-def no_effect_twice(traffic, cluster, job: JobSeen):
+def no_effect_twice(traffic, cluster, job: ObservedJob):
     offering = offering_of(cluster, job)
     for place, launch in enumerate(job.launches):
         earlier = job.launches[:place]
@@ -164,7 +164,7 @@
                 f"{job.id} (labelled) was sent again {launch.t - first.t:.3f} s after a launch "
                 f"that may have run, past its window",
             )
-    for t, verdict in job.answers + job.told[:1]:
+    for t, verdict in job.answers + job.status_verdicts[:1]:
         may_have_run = [launch for launch in job.launches if launch.never_ran > t]
         harmless = offering.effect is Effect.REDOABLE or (
             offering.effect is Effect.LABELLED and offering.dedup_level is TopologyLevel.ALL
@@ -211,7 +211,7 @@
 
 def young_kept(traffic, cluster):
     settings = cluster.settings
-    by_boot: dict[tuple, list[LaunchSeen]] = {}
+    by_boot: dict[tuple, list[ObservedLaunch]] = {}
     for launch in traffic.launches.values():
         booted = traffic.booted.get((launch.host, launch.boot))
         if (
@@ -250,7 +250,7 @@
         for name, offering in cluster.settings.offerings.items()
         if offering.spread_level is not TopologyLevel.NONE
     }
-    held: dict[tuple, list[tuple[float, float, LaunchSeen]]] = {}
+    held: dict[tuple, list[tuple[float, float, ObservedLaunch]]] = {}
     for launch in traffic.launches.values():
         offering = spread.get(launch.job.offering)
         if offering is None:
@@ -281,7 +281,7 @@
                 )
 
 
-def over_at(traffic, launch: LaunchSeen) -> float:
+def over_at(traffic, launch: ObservedLaunch) -> float:
     """From when a launch counts for nothing: its end, or its time when nobody had said yes."""
     told = traffic.told.get((launch.controller, launch.life, launch.host))
     gone = (
--- a/linedeal/audit/traffic.py
+++ b/linedeal/audit/traffic.py
@@ -12,7 +12,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class LaunchSeen:
+class ObservedLaunch:
     controller: str
     life: int
     number: int
@@ -34,7 +34,7 @@
     heard_on: object = None  # the last link that was told of it, as it was offered or by its welcome
     unheard: float = NEVER  # since when that one has ended: what comes of the launch then is told to nobody
     outcome: int = 0
-    uses: list[tuple[float, float]] = field(default_factory=list)  # when told, cores in use
+    usage_reports: list[tuple[float, float]] = field(default_factory=list)  # when told, cores in use
 
     @property
     def never_ran(self) -> float:
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class JobSeen:
+class ObservedJob:
     id: str
     controller: str
     offering: str
@@ -56,16 +56,16 @@
     answers: list[tuple[float, int]] = field(default_factory=list)
     left: float = NEVER
     session: str = ""
-    told: list[tuple[float, int]] = field(default_factory=list)  # verdicts shown by its standing
+    status_verdicts: list[tuple[float, int]] = field(default_factory=list)  # verdicts shown by its standing
     began: float = 0.0  # when its time to find a host began, where not as it was taken
     over: bool = False  # its owner has let go of it: the key is free
     aside: bool = False  # held, or its start time has not come
-    launches: list[LaunchSeen] = field(default_factory=list)
+    launches: list[ObservedLaunch] = field(default_factory=list)
 
     @property
-    def said(self) -> list[tuple[float, int]]:
+    def reported_verdicts(self) -> list[tuple[float, int]]:
         """Each time that its owner was told a verdict, by an answer or by its standing."""
-        return sorted(self.answers + self.told)
+        return sorted(self.answers + self.status_verdicts)
 
 
 @dataclass(slots=True, eq=False)
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class OrderSeen:
+class ObservedOrder:
     """An order of a duty's owner, and what it was told."""
 
     t: float  # as it came to the recorder
@@ -90,20 +90,20 @@
     kind: int
     host: str
     boot: int
-    told: float = NEVER
+    answered_at: float = NEVER
     done: bool = False
-    highest: int = 0  # token that the other side had seen
+    highest_token: int = 0  # token that the other side had seen
     at: int = 0  # boot of the host that answered
     clear: bool = False  # the host said that it drains, and held no irreversible job
 
     @property
     def came(self) -> float:
         """The earliest at which it can have been carried out."""
-        return self.t if not self.held else self.told
+        return self.t if not self.held else self.answered_at
 
 
 @dataclass(slots=True, eq=False)
-class ChangeSeen:
+class ObservedChange:
     """A change of one of the council's registers that was asked for."""
 
     t: float
@@ -113,7 +113,7 @@
 
 
 @dataclass(slots=True)
-class LinkSeen:
+class ObservedLink:
     to: str
     forth: FrameReader = field(default_factory=FrameReader)
     back: FrameReader = field(default_factory=FrameReader)
@@ -121,8 +121,8 @@
     opened: float = 0.0
     boot: int = 0
     asks: dict[str, deque] = field(default_factory=dict)  # not answered yet, by key
-    launches: list[LaunchSeen] = field(default_factory=list)
-    knows: list[LaunchSeen] = field(default_factory=list)  # those, and the ones that its welcome named
+    launches: list[ObservedLaunch] = field(default_factory=list)
+    knows: list[ObservedLaunch] = field(default_factory=list)  # those, and the ones that its welcome named
     numbered: dict[int, object] = field(
         default_factory=dict
     )  # orders or changes of this link by their numbers
@@ -133,8 +133,8 @@
 class Traffic:
     """All that the rules are judged by."""
 
-    jobs: dict[str, JobSeen] = field(default_factory=dict)
-    launches: dict[tuple, LaunchSeen] = field(default_factory=dict)
+    jobs: dict[str, ObservedJob] = field(default_factory=dict)
+    launches: dict[tuple, ObservedLaunch] = field(default_factory=dict)
     told: dict[tuple, Told] = field(default_factory=dict)  # by controller, life, host
     sessions: dict[tuple[str, str], list[list[float]]] = field(
         default_factory=dict
@@ -149,13 +149,13 @@
     doubled: list[tuple[float, int, str]] = field(
         default_factory=list
     )  # numbers used twice: time, rule, what
-    orders: list[OrderSeen] = field(default_factory=list)
-    changes: list[ChangeSeen] = field(default_factory=list)
+    orders: list[ObservedOrder] = field(default_factory=list)
+    changes: list[ObservedChange] = field(default_factory=list)
     bad_frames: list[tuple[float, str, str]] = field(default_factory=list)
     end: float = 0.0
 
 
-def gather(entries: Iterable[Entry]) -> Traffic:
+def reconstruct_traffic(entries: Iterable[Entry]) -> Traffic:
     """Reads a whole record."""
     reader = Reader()
     for entry in entries:
@@ -171,7 +171,7 @@
 class Reader:
     def __init__(self):
         self.traffic = Traffic()
-        self.links: dict[int, LinkSeen] = {}
+        self.links: dict[int, ObservedLink] = {}
         self.keys: dict[tuple[str, str, str], str] = {}  # job by controller, session and key
         self.life_hosts: dict[tuple, set[str]] = {}
 
@@ -180,7 +180,7 @@
         if entry.e == "mark":
             self.traffic.marks.append((entry.t, entry.what, entry.who))
         elif entry.e == "open":
-            self.links[entry.link] = LinkSeen(entry.to, opened=entry.t)
+            self.links[entry.link] = ObservedLink(entry.to, opened=entry.t)
         elif entry.e == "end":
             self.ended(entry.t, self.links[entry.link])
         else:
@@ -248,7 +248,7 @@
                 )
             )
         self.keys[link.to, link.hello.session, message.key] = message.job
-        job = self.traffic.jobs[message.job] = JobSeen(
+        job = self.traffic.jobs[message.job] = ObservedJob(
             message.job,
             link.to,
             ask.job.offering,
@@ -267,7 +267,7 @@
     def standing(self, entry, link, message) -> None:
         job = self.traffic.jobs.get(message.job.id)
         if job is not None and message.stage in STAGE_VERDICTS:
-            job.told.append((entry.t, STAGE_VERDICTS[message.stage]))
+            job.status_verdicts.append((entry.t, STAGE_VERDICTS[message.stage]))
 
     def ordered(self, entry, link, message) -> None:
         job = self.traffic.jobs.get(self.keys.get((link.to, link.hello.session, message.key), ""))
@@ -300,11 +300,11 @@
 
     # -- controller and host
 
-    def find(self, launch) -> LaunchSeen | None:
+    def find(self, launch) -> ObservedLaunch | None:
         return self.traffic.launches.get((launch.controller, launch.life, launch.number))
 
     def offer(self, entry, link, message) -> None:
-        seen = LaunchSeen(
+        seen = ObservedLaunch(
             message.launch.controller,
             message.launch.life,
             message.launch.number,
@@ -337,7 +337,7 @@
     def use(self, entry, link, message) -> None:
         launch = self.find(message.launch)
         if launch is not None:
-            launch.uses.append((entry.t, message.cores))
+            launch.usage_reports.append((entry.t, message.cores))
 
     def welcome(self, entry, link, message) -> None:
         link.boot = message.boot
@@ -391,7 +391,7 @@
     # -- duties
 
     def order(self, entry, link, message) -> None:
-        seen = OrderSeen(
+        seen = ObservedOrder(
             entry.t,
             entry.held,
             link.to,
@@ -409,12 +409,12 @@
     def order_told(self, entry, link, message) -> None:
         seen = link.numbered.pop(message.number, None)
         if seen is not None:
-            seen.told, seen.done, seen.highest = entry.t, message.done, message.token
+            seen.answered_at, seen.done, seen.highest_token = entry.t, message.done, message.token
             seen.at, seen.clear = message.boot, message.draining and not message.irreversible
 
     def council_ask(self, entry, link, message) -> None:
         if message.kind == pb.CHANGE and message.key in (PLAN, CAMPAIGN):
-            seen = ChangeSeen(entry.t, message.key, message.body)
+            seen = ObservedChange(entry.t, message.key, message.body)
             self.traffic.changes.append(seen)
             link.numbered[message.number] = seen
 
--- a/linedeal/cli.py
+++ b/linedeal/cli.py
@@ -77,12 +77,12 @@
     from linedeal.lab.processes import ProcessFault
     from linedeal.lab.record import BadRecord
     from linedeal.settings.cluster import ConfigError
-    from linedeal.standin.orders import FenceFault
+    from linedeal.standin.orders import FenceFileError
     from linedeal.state import StoreError
 
     statuses = (
         ((ConfigError, DayFault, BadRecord), 1),
-        ((StoreError, ProcessFault, FenceFault, OSError), 3),
+        ((StoreError, ProcessFault, FenceFileError, OSError), 3),
         (HaltedError, 4),
     )
     return next((status for kinds, status in statuses if isinstance(error, kinds)), None)
@@ -280,13 +280,13 @@
     from linedeal.net import TcpNet
     from linedeal.settings.cluster import read_cluster
     from linedeal.standin.host import HostServer
-    from linedeal.standin.model import Habits, HostModel
+    from linedeal.standin.model import HostBehavior, HostModel
 
     log, settings = logs.setup(False, False), read_cluster(cluster)
     if kind not in settings.settings.kinds:
         raise Fault(f"no kind {kind!r} in {cluster}", 2)
     try:
-        habit = Habits(**json.loads(habits))
+        habit = HostBehavior(**json.loads(habits))
     except (ValueError, TypeError) as error:
         raise Fault(f"--habits: {error}", 2) from None
     boot = boot or time.time_ns() // 1_000_000
@@ -360,13 +360,13 @@
     from linedeal import logs
     from linedeal.net import TcpNet
     from linedeal.settings.cluster import read_cluster
-    from linedeal.standin.crowd import Crowd, read_hosts
+    from linedeal.standin.host_pool import HostPool, read_hosts
 
     log = logs.setup(False, False)
 
     async def work():
         with open(record, "wb", buffering=1 << 16) as out:
-            server = Crowd(
+            server = HostPool(
                 read_hosts(Path(hosts)), read_cluster(cluster), address_of(discovery), seed, TcpNet(), out
             )
             await serve_stand_in(server, ("127.0.0.1", 0), control, log)
@@ -441,7 +441,7 @@
 ):
     """Plays a day file and judges what passed on the sockets. Exit status 0 only if all five rules were kept."""
     from linedeal import audit
-    from linedeal.audit.duties import judge_duties
+    from linedeal.audit.duties import find_duty_breaches
     from linedeal.lab import play, report
     from linedeal.lab.day import read_day
 
@@ -454,8 +454,11 @@
 
         place = Path(directory) if directory else Path(tempfile.mkdtemp(prefix="linedeal-day-"))
         tally, entries = run(play.play_processes, plan, place, say)
-    traffic = audit.gather(entries)
-    breaches, of_duties = audit.judge(traffic, plan.cluster), judge_duties(traffic, plan.cluster)
+    traffic = audit.reconstruct_traffic(entries)
+    breaches, of_duties = (
+        audit.find_breaches(traffic, plan.cluster),
+        find_duty_breaches(traffic, plan.cluster),
+    )
     value = report.earned(traffic, plan, tally.asked)
     if as_json:
         print(
@@ -551,14 +554,14 @@
 def audit_record(record: str, cluster: ClusterFile, as_json: Json = False):
     """Judges a record of traffic by the five rules, and by the claims of duties. Exit status 0 only if all were kept."""
     from linedeal import audit
-    from linedeal.audit.duties import judge_duties
+    from linedeal.audit.duties import find_duty_breaches
     from linedeal.lab import report
     from linedeal.lab.record import read_record
     from linedeal.settings.cluster import read_cluster
 
     settings = read_cluster(cluster)
-    traffic = audit.gather(read_record(record))
-    breaches, of_duties = audit.judge(traffic, settings), judge_duties(traffic, settings)
+    traffic = audit.reconstruct_traffic(read_record(record))
+    breaches, of_duties = audit.find_breaches(traffic, settings), find_duty_breaches(traffic, settings)
     if as_json:
         print(json.dumps({"jobs": len(traffic.jobs), "breaches": shown(breaches, of_duties)}))
     else:
--- a/linedeal/lab/baselines.py
+++ b/linedeal/lab/baselines.py
@@ -92,7 +92,7 @@
             way = [pair for pair in self.sent.get(name, ()) if self.now - pair[0] < ON_THE_WAY]
             self.sent[name] = way
             model = models.get(name)
-            held = sum(copy.job.cores for copy in model.copies.values()) if model is not None else 0.0
+            held = sum(copy.job.cores for copy in model.launches.values()) if model is not None else 0.0
             return (held + sum(cores for _, cores in way)) / host.size.cores
 
         best = min((host for _, host in fit), key=asked)
--- a/linedeal/lab/day.py
+++ b/linedeal/lab/day.py
@@ -6,7 +6,7 @@
 
 from linedeal.settings.cluster import Cluster, ConfigError, read_cluster
 from linedeal.settings.records import Bounds
-from linedeal.standin.model import Habits
+from linedeal.standin.model import HostBehavior
 
 
 class DayFault(Exception):
@@ -23,7 +23,7 @@
     kind: str
     zone: str
     cell: int
-    habits: Habits
+    habits: HostBehavior
 
 
 @dataclass(frozen=True, slots=True)
@@ -194,7 +194,7 @@
                         after(rest, "kind")[0],
                         zones[i % len(zones)],
                         i // cell,
-                        Habits(**{**self.habits, **own}),
+                        HostBehavior(**{**self.habits, **own}),
                     )
                 )
         elif name == "clock":
@@ -348,7 +348,7 @@
 
 def habit(word) -> tuple[str, object]:
     name, equals, text = word.partition("=")
-    kinds = {field.name: type(field.default) for field in fields(Habits)}
+    kinds = {field.name: type(field.default) for field in fields(HostBehavior)}
     if name not in kinds or not equals:
         raise ValueError(f"unknown habit {name}")
     return name, text == "yes" if kinds[name] is bool else kinds[name](text)
--- a/linedeal/lab/evening.py
+++ b/linedeal/lab/evening.py
@@ -14,7 +14,7 @@
 from linedeal.lab.play import in_memory, play
 from linedeal.lab.record import Entry
 from linedeal.policy import Controller
-from linedeal.standin.crowd import SAMPLE, Sampled, shares
+from linedeal.standin.host_pool import SAMPLE_INTERVAL, SampledHostModel, load_shares
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,11 +47,11 @@
         async def sample():
             at = anyio.current_time()
             while True:
-                at += SAMPLE
+                at += SAMPLE_INTERVAL
                 await anyio.sleep_until(at)
                 for name, spec in ground.host_specs.items():
-                    if not ground.scopes[name].cancel_called and not ground.servers[name].model.fallen:
-                        asked, used = shares(ground.servers[name].model)
+                    if not ground.scopes[name].cancel_called and not ground.servers[name].model.crashed:
+                        asked, used = load_shares(ground.servers[name].model)
                         samples.append(HostAt(round(at - begun, 3), name, spec.kind, spec.zone, asked, used))
 
         async with anyio.create_task_group() as tasks:
@@ -66,4 +66,4 @@
             samples, sorted(arrivals, key=lambda arrival: arrival.t), tally, ground.recorder.entries
         )
 
-    return in_memory(day, work, policy, model=lambda *rest: Sampled(noted, *rest))
+    return in_memory(day, work, policy, model=lambda *rest: SampledHostModel(noted, *rest))
--- a/linedeal/lab/evenrun.py
+++ b/linedeal/lab/evenrun.py
@@ -31,13 +31,13 @@
         directory, plan.controllers, plan.hosts, plan.seconds, plan.room, plan.trouble, plan.seed
     )
     found = played_in_memory(day, IN_MEMORY[plan.policy])
-    traffic = audit.gather(found.entries)
+    traffic = audit.reconstruct_traffic(found.entries)
     return RigDay(
         found.samples,
         found.arrivals,
         found.tally,
         value=report.earned(traffic, day, found.tally.asked),
-        breaches=tuple(audit.judge(traffic, day.cluster)),
+        breaches=tuple(audit.find_breaches(traffic, day.cluster)),
     )
 
 
--- a/linedeal/lab/report.py
+++ b/linedeal/lab/report.py
@@ -5,8 +5,8 @@
 from hdrh.histogram import HdrHistogram
 
 from linedeal.audit import RULES, Breach, Traffic
-from linedeal.audit.duties import CLAIMS, DutyBreach, campaigns
-from linedeal.audit.traffic import NEVER, LaunchSeen
+from linedeal.audit.duties import CLAIMS, DutyBreach, campaign_outcomes
+from linedeal.audit.traffic import NEVER, ObservedLaunch
 from linedeal.duties.campaign import describe_progress
 from linedeal.lab.day import Day
 from linedeal.protocol import pb
@@ -35,7 +35,7 @@
     found = []
     for offering in sorted({job.offering for job in traffic.jobs.values()}):
         jobs = [job for job in traffic.jobs.values() if job.offering == offering]
-        verdicts = [job.said[0][1] if job.said else None for job in jobs]
+        verdicts = [job.reported_verdicts[0][1] if job.reported_verdicts else None for job in jobs]
         delays = HdrHistogram(1, 600_000, 3)
         for job in jobs:
             started = min((launch.started for launch in job.launches), default=NEVER)
@@ -87,7 +87,9 @@
     return min(1.0, value / whole)
 
 
-def run_seconds(traffic: Traffic, day: Day) -> tuple[dict[LaunchSeen, float], dict[LaunchSeen, float]]:
+def run_seconds(
+    traffic: Traffic, day: Day
+) -> tuple[dict[ObservedLaunch, float], dict[ObservedLaunch, float]]:
     """Of each launch that started: the seconds that it ran, and those in which it was served, in parts."""
     settings = day.cluster.settings
     kinds = {host.name: settings.kinds[host.kind] for host in day.hosts}
@@ -97,11 +99,11 @@
         if launch.started < NEVER and launch.host in kinds:
             over = min(launch.ended, launch.lost, traffic.end)
             seconds[launch], served[launch] = over - launch.started, 0.0
-            for t, cores in launch.uses:
+            for t, cores in launch.usage_reports:
                 by_host.setdefault(launch.host, []).append((t, number, launch, cores))
             by_host.setdefault(launch.host, []).append((over, number, launch, None))
     for host, changes in by_host.items():
-        running: dict[LaunchSeen, float] = {}
+        running: dict[ObservedLaunch, float] = {}
         last = 0.0
         for t, _, launch, cores in sorted(changes, key=lambda change: change[:2]):
             busy = sum(running.values()) / kinds[host].cores
@@ -162,7 +164,9 @@
             out += verdict(
                 f"duties, {claim}", text, [breach for breach in of_duties if breach.claim == claim]
             )
-        out += [f"campaign {describe_progress(plan, progress)}" for plan, progress in campaigns(traffic)]
+        out += [
+            f"campaign {describe_progress(plan, progress)}" for plan, progress in campaign_outcomes(traffic)
+        ]
     return out
 
 
--- a/linedeal/standin/discovery.py
+++ b/linedeal/standin/discovery.py
@@ -25,7 +25,7 @@
     def __init__(self, net: Net):
         self.net = net
         self.hosts: dict[str, pb.HostEntry] = {}
-        self.heard: dict[str, tuple[float, pb.HostEntry]] = {}
+        self.reports: dict[str, tuple[float, pb.HostEntry]] = {}
         self.version = 1
         self.changes: deque[tuple[int, tuple[str, ...]]] = deque(maxlen=HISTORY)
         self.watchers: list[Watcher] = []
@@ -43,7 +43,7 @@
         while True:
             await anyio.sleep(self.period)
             now, changed = anyio.current_time(), []
-            for name, (at, entry) in self.heard.items():
+            for name, (at, entry) in self.reports.items():
                 if now - at > SILENT and entry.mode != pb.GONE:
                     entry.mode = pb.GONE
                 if entry != self.hosts.get(name):
@@ -86,7 +86,7 @@
             message = await link.receive()
             if isinstance(message, pb.HostList) and not self.down:
                 for entry in message.hosts:
-                    self.heard[entry.id] = (anyio.current_time(), entry)
+                    self.reports[entry.id] = (anyio.current_time(), entry)
 
     async def watched(self, link: Link) -> None:
         watcher = Watcher()
@@ -150,7 +150,7 @@
         entries = []
         for name in names:
             entry = pb.HostEntry.FromString(self.hosts[name].SerializeToString())
-            entry.age += now - self.heard[name][0]
+            entry.age += now - self.reports[name][0]
             entries.append(entry)
         return pb.HostList(version=self.version, whole=whole, hosts=entries, since=0 if whole else known)
 
--- a/linedeal/standin/host.py
+++ b/linedeal/standin/host.py
@@ -10,7 +10,7 @@
 from linedeal.net.base import CONNECTION_ERRORS
 from linedeal.protocol import FrameReader, encode, pb
 from linedeal.standin.model import HostModel
-from linedeal.standin.orders import KeptFence, refused, serve_owner
+from linedeal.standin.orders import PersistentFence, refused, serve_owner
 
 REPORT_EVERY = 0.25  # seconds between two lines to discovery
 HELLO = 5.0
@@ -42,7 +42,7 @@
         self.model, self.net, self.discovery = model, net, discovery
         self.advertise, self.zone, self.cell = advertise, zone, cell
         self.peers: dict[str, Peer] = {}
-        self.fence = KeptFence(fence)
+        self.fence = PersistentFence(fence)
         self.changed = anyio.Event()
         self.barred: frozenset[str] = (
             frozenset()
@@ -60,7 +60,7 @@
                 self.advertise = f"{address[0]}:{address[1]}"
             if self.discovery:
                 self.tasks.start_soon(self.register)
-            while not self.model.fallen:
+            while not self.model.crashed:
                 self.flush()
                 self.changed = anyio.Event()
                 with anyio.move_on_at(self.model.next_due()):
@@ -88,7 +88,7 @@
             if isinstance(hello, pb.Hello):
                 await self.clear(hello.name)
             if isinstance(hello, pb.Hello) and hello.role == pb.OWNER:
-                await serve_owner(link, hello, self.model.name, self.model.cluster.council, self.ordered)
+                await serve_owner(link, hello, self.model.name, self.model.cluster.council, self.carry_out)
             if not isinstance(hello, pb.Hello) or hello.role != pb.CONTROLLER:
                 return
             self.model.pass_time(anyio.current_time())
@@ -128,7 +128,7 @@
         while self.barred & {controller, "*"}:
             await self.unbarred.wait()
 
-    async def ordered(self, order: pb.DutyOrder) -> pb.DutyTold:
+    async def carry_out(self, order: pb.DutyOrder) -> pb.DutyTold:
         """A duty's effect: it drains by it once, however often it is told."""
         model = self.model
         model.pass_time(anyio.current_time())
@@ -145,7 +145,7 @@
             why=why,
             boot=model.boot,
             draining=model.draining,
-            jobs=len(model.copies),
+            jobs=len(model.launches),
             irreversible=model.irreversible(),
             token=self.fence.fence.highest(order.duty),
         )
--- a/linedeal/standin/crowd.py
+++ b/linedeal/standin/host_pool.py
@@ -17,13 +17,13 @@
 from linedeal.protocol import pb
 from linedeal.settings.records import Cluster
 from linedeal.standin.host import HostServer
-from linedeal.standin.model import Habits, HostModel, key
+from linedeal.standin.model import HostBehavior, HostModel, key
 
-SAMPLE = 0.1  # seconds between two samples of all hosts
+SAMPLE_INTERVAL = 0.1  # seconds between two samples of all hosts
 NO_ROOM = (pb.NO_CORES, pb.NO_MEMORY, pb.QUEUE_FULL)
 
 
-class Sampled(HostModel):
+class SampledHostModel(HostModel):
     """Tells of each launch, once: as it comes, and again where it is turned away for want of room."""
 
     def __init__(self, noted: Callable[[str, tuple, str, bool], None], name: str, *rest):
@@ -41,33 +41,31 @@
         super().refuse(copy, reason)
 
 
-def shares(model: HostModel) -> tuple[float, float]:
+def load_shares(model: HostModel) -> tuple[float, float]:
     """Cores asked, of those it accepts, and used, of those it has."""
     accepts = model.size.cores * model.cluster.settings.accepts_cores
     return (
         round(model.asked()[0] / accepts, 4),
-        round(sum(copy.cores for copy in model.copies.values()) / model.size.cores, 4),
+        round(sum(copy.cores for copy in model.launches.values()) / model.size.cores, 4),
     )
 
 
 @dataclass(frozen=True, slots=True)
-class CrowdHost:
+class PoolHost:
     """As a day names it."""
 
     name: str
     kind: str
     zone: str
     cell: int
-    habits: Habits
+    habits: HostBehavior
 
 
-class Crowd:
+class HostPool:
     """`out` takes JSON lines: samples `["s", t, host, asked, used]` as shares of what it accepts and has, launches
     `["l", t, host, launch, service, refused]`. Times are of the machine's clock, alike in all processes."""
 
-    def __init__(
-        self, hosts: list[CrowdHost], cluster: Cluster, discovery: Address, seed: int, net: Net, out
-    ):
+    def __init__(self, hosts: list[PoolHost], cluster: Cluster, discovery: Address, seed: int, net: Net, out):
         self.hosts, self.cluster, self.discovery, self.seed, self.net = hosts, cluster, discovery, seed, net
         self.out = out
         self.places: dict[str, Address] = {}
@@ -82,7 +80,7 @@
             task_status.started((listen[0], 0))
             at = anyio.current_time()
             while True:
-                at += SAMPLE
+                at += SAMPLE_INTERVAL
                 await anyio.sleep_until(at)
                 self.sample()
 
@@ -95,13 +93,13 @@
     def sample(self) -> None:
         now = round(time.time(), 3)
         for name, server in self.servers.items():
-            self.write("s", now, name, *shares(server.model))
+            self.write("s", now, name, *load_shares(server.model))
 
     async def start(self, name: str, young: bool = True) -> None:
         """Again at its old address; without its jobs."""
         host = next(host for host in self.hosts if host.name == name)
         boot = self.boots[name] = max(self.boots.get(name, 0) + 1, time.time_ns() // 1_000_000)
-        model = Sampled(
+        model = SampledHostModel(
             self.noted,
             name,
             host.kind,
@@ -139,9 +137,9 @@
             self.servers[order["host"]].control(order["do"])
 
 
-def read_hosts(path: Path) -> list[CrowdHost]:
+def read_hosts(path: Path) -> list[PoolHost]:
     """Raises OSError, ValueError."""
     return [
-        CrowdHost(row["name"], row["kind"], row["zone"], row["cell"], Habits(**row["habits"]))
+        PoolHost(row["name"], row["kind"], row["zone"], row["cell"], HostBehavior(**row["habits"]))
         for row in json.loads(path.read_text(encoding="utf-8"))
     ]
--- a/linedeal/standin/model.py
+++ b/linedeal/standin/model.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habits:
+class HostBehavior:
     """Seconds and counts; each may be set in a day file."""
 
     look: float = 0.01  # to look at one offer
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Copy:
+class HeldLaunch:
     """One launch that the host knows."""
 
     id: tuple[str, int, int]
@@ -68,7 +68,7 @@
         name: str,
         kind: str,
         cluster: Cluster,
-        habits: Habits,
+        habits: HostBehavior,
         boot: int,
         random: Random,
         now: float,
@@ -78,17 +78,17 @@
         self.size = cluster.settings.kinds[kind]
         self.random, self.boot = random, boot
         self.booted = now if young else now - 10 * cluster.settings.slow_start_duration
-        self.copies: OrderedDict[tuple, Copy] = OrderedDict()
-        self.over: OrderedDict[tuple, Copy] = OrderedDict()
-        self.queue: deque[Copy] = deque()
-        self.starts: deque[Copy] = deque()
+        self.launches: OrderedDict[tuple, HeldLaunch] = OrderedDict()
+        self.ended_launches: OrderedDict[tuple, HeldLaunch] = OrderedDict()
+        self.queue: deque[HeldLaunch] = deque()
+        self.starts: deque[HeldLaunch] = deque()
         self.starting = 0
         self.programs: OrderedDict[str, None] = OrderedDict()
         self.fences: dict[str, tuple[int, int]] = {}
         self.offers: deque[float] = deque()
         self.timers: list = []
         self.armed = 0
-        self.draining = self.fallen = self.forgot = False
+        self.draining = self.crashed = self.forgot = False
         self.faults = Faults()
         self.out: list[tuple[str, object]] = []  # controller, message
         self.arm(now + 1.0, "notes", None)
@@ -105,7 +105,7 @@
         self.fences[controller] = (life, link)
         for copy in [c for c in self.queue if c.id[0] == controller and c.id[1] < life]:
             self.queue.remove(copy)
-            del self.copies[copy.id]
+            del self.launches[copy.id]
         held = [
             pb.Held(
                 launch=c.launch(),
@@ -115,7 +115,7 @@
                 reason=c.reason,
                 ran=c.ran,
             )
-            for table in (self.copies, self.over)
+            for table in (self.launches, self.ended_launches)
             for c in table.values()
             if c.id[0] == controller
         ]
@@ -136,7 +136,7 @@
             case pb.Stop():
                 self.stop(now, key(message.launch))
             case pb.EndSeen():
-                self.over.pop(key(message.launch), None)
+                self.ended_launches.pop(key(message.launch), None)
             case pb.Probe():
                 self.out.append((controller, pb.Report(number=message.number, figures=self.report())))
             case _:
@@ -151,16 +151,18 @@
         if now < self.booted + settings.slow_start_duration and (
             len(self.offers) > settings.slow_start_limit * self.habits.fall_over
         ):
-            self.fallen = True
+            self.crashed = True
             return
         offering = settings.offerings.get(offer.job.offering)
-        copy = Copy(key(offer.launch), offer.job, offering.value if offering else 0.0, due=now + offer.wait)
-        if copy.id in self.copies or copy.id in self.over:
+        copy = HeldLaunch(
+            key(offer.launch), offer.job, offering.value if offering else 0.0, due=now + offer.wait
+        )
+        if copy.id in self.launches or copy.id in self.ended_launches:
             return  # the same launch twice on one link: known already
         if len(self.queue) >= self.habits.queue:
             self.refuse(copy, pb.QUEUE_FULL)
             return
-        self.copies[copy.id] = copy
+        self.launches[copy.id] = copy
         self.queue.append(copy)
         if len(self.queue) == 1:
             self.arm(now + self.look_time(now), "look", None)
@@ -180,7 +182,7 @@
             self.arm(now + self.look_time(now), "look", None)
         reason = self.why_not(now, copy)
         if reason is not None:
-            del self.copies[copy.id]
+            del self.launches[copy.id]
             self.refuse(copy, reason)
             return
         copy.phase = pb.ACCEPTED
@@ -200,7 +202,7 @@
             return pb.NOT_HERE
         if job.customer in self.faults.refuses:
             return pb.REASON_UNTOLD
-        if any(c.job.id == job.id and c is not copy for c in self.copies.values()):
+        if any(c.job.id == job.id and c is not copy for c in self.launches.values()):
             return pb.NOT_HERE  # a copy stands
         cores, memory = self.asked()
         if cores + job.cores > settings.accepts_cores * self.size.cores:
@@ -220,12 +222,12 @@
 
     def begin(self, now, copy_id) -> None:
         self.starting -= 1
-        copy = self.copies.get(copy_id)
+        copy = self.launches.get(copy_id)
         if copy is not None:
             copy.phase, copy.began, copy.used_at = pb.RUNNING, now, now
             self.programs[copy.job.service] = None
             self.programs.move_to_end(copy.job.service)
-            while len(self.programs) > self.habits.kept + len(self.copies):
+            while len(self.programs) > self.habits.kept + len(self.launches):
                 self.programs.popitem(last=False)
             self.tell(copy, pb.Started(launch=copy.launch()))
             self.use(now, copy.id)
@@ -236,7 +238,7 @@
         self.start_more(now)
 
     def use(self, now, copy_id) -> None:
-        copy = self.copies.get(copy_id)
+        copy = self.launches.get(copy_id)
         if copy is None:
             return
         share = min(2.0, max(0.1, self.random.gauss(self.habits.use, self.habits.swing)))
@@ -247,18 +249,18 @@
         copy.memory_most = max(copy.memory_most, copy.memory)
         self.tell(copy, pb.Use(launch=copy.launch(), cores=copy.cores, memory=copy.memory))
         self.arm(now + self.random.uniform(3, 8), "use", copy_id)
-        while sum(c.memory for c in self.copies.values()) > self.size.memory:
+        while sum(c.memory for c in self.launches.values()) > self.size.memory:
             self.lose(
-                now, min((c for c in self.copies.values() if c.memory), key=lambda c: c.value), pb.EVICTED
+                now, min((c for c in self.launches.values() if c.memory), key=lambda c: c.value), pb.EVICTED
             )
 
     def notes(self, now, _) -> None:
         """Once a second: how poorly the worst-served job of each controller is served, and how full memory is."""
         self.arm(now + 1.0, "notes", None)
-        busy = sum(c.cores for c in self.copies.values()) / self.size.cores
-        memory = sum(c.memory for c in self.copies.values()) / self.size.memory
+        busy = sum(c.cores for c in self.launches.values()) / self.size.cores
+        memory = sum(c.memory for c in self.launches.values()) / self.size.memory
         worst: dict[str, tuple] = {}
-        for copy in self.copies.values():
+        for copy in self.launches.values():
             offering = self.cluster.settings.offerings.get(copy.job.offering)
             if copy.phase == pb.RUNNING and offering:
                 over = (
@@ -270,7 +272,7 @@
                 worst[copy.id[0]] = min(worst.get(copy.id[0], (2.0,)), (served, copy.id))
         for served, copy_id in worst.values():
             if served < 0.95 or memory > 0.85:
-                copy = self.copies[copy_id]
+                copy = self.launches[copy_id]
                 self.tell(
                     copy,
                     pb.Service(
@@ -287,7 +289,7 @@
         self.end(copy_id, pb.ERROR, pb.REASON_UNTOLD)
 
     def stop(self, now, copy_id) -> None:
-        copy = self.copies.get(copy_id)
+        copy = self.launches.get(copy_id)
         if copy is None:
             return
         if copy in self.queue:
@@ -304,17 +306,17 @@
         if copy.phase == pb.RUNNING or not self.cluster.settings.starts_confirmed:
             self.end(copy.id, pb.LOST, reason)
         else:
-            self.copies.pop(copy.id, None)
+            self.launches.pop(copy.id, None)
             self.refuse(copy, reason)
 
     def end(self, copy_id, outcome, reason) -> None:
-        copy = self.copies.pop(copy_id, None)
+        copy = self.launches.pop(copy_id, None)
         if copy is None:
             return
         copy.phase, copy.outcome, copy.reason, copy.ran = pb.OVER, outcome, reason, self.run_of(copy, outcome)
-        self.over[copy.id] = copy
-        if len(self.over) > ENDS_KEPT:
-            self.over.popitem(last=False)
+        self.ended_launches[copy.id] = copy
+        if len(self.ended_launches) > ENDS_KEPT:
+            self.ended_launches.popitem(last=False)
             self.forgot = True
         self.tell(copy, pb.Ended(launch=copy.launch(), outcome=outcome, reason=reason, ran=copy.ran))
 
@@ -337,12 +339,12 @@
     def drain(self, now) -> None:
         self.draining = True
         if self.habits.drain != "keep":
-            for i, copy in enumerate(list(self.copies.values())):
+            for i, copy in enumerate(list(self.launches.values())):
                 delay = 0.0 if self.habits.drain == "at_once" else 0.2 * i
                 self.arm(now + delay, "send_away", copy.id)
 
     def send_away(self, now, copy_id) -> None:
-        copy = self.copies.get(copy_id)
+        copy = self.launches.get(copy_id)
         if copy is not None and copy not in self.queue:
             self.lose(now, copy, pb.SENT_AWAY)
 
@@ -351,7 +353,7 @@
         offerings = self.cluster.settings.offerings
         return sum(
             copy.job.offering in offerings and offerings[copy.job.offering].effect is Effect.IRREVERSIBLE
-            for copy in self.copies.values()
+            for copy in self.launches.values()
         )
 
     # -- time and figures
@@ -375,19 +377,19 @@
         self.out.append((copy.id[0], message))
 
     def asked(self):
-        held = [c for c in self.copies.values() if c.phase != pb.QUEUED]
+        held = [c for c in self.launches.values() if c.phase != pb.QUEUED]
         return sum(c.job.cores for c in held), sum(c.job.memory for c in held)
 
     def report(self):
         cores, memory = self.asked()
-        used = sum(c.cores for c in self.copies.values()), sum(c.memory for c in self.copies.values())
+        used = sum(c.cores for c in self.launches.values()), sum(c.memory for c in self.launches.values())
         return {
             "unasked_cores": self.size.cores - cores,
             "unasked_memory": self.size.memory - memory,
             "idle_cores": self.size.cores - used[0],
             "idle_memory": self.size.memory - used[1],
             "queue": len(self.queue) + len(self.starts),
-            "jobs": len(self.copies),
+            "jobs": len(self.launches),
         }
 
 
--- a/linedeal/standin/orders.py
+++ b/linedeal/standin/orders.py
@@ -16,11 +16,11 @@
 HELLO = 5.0
 
 
-class FenceFault(Exception):
+class FenceFileError(Exception):
     """The file that keeps the highest tokens cannot be read or written; one plain line that names it."""
 
 
-class KeptFence:
+class PersistentFence:
     """`path` None: kept as long as the process lives, as a day in memory has no disks."""
 
     def __init__(self, path: Path | None):
@@ -30,7 +30,7 @@
                 tokens = json.loads(path.read_text(encoding="utf-8"))
                 self.fence = Fence(tuple(sorted((str(duty), int(token)) for duty, token in tokens.items())))
             except (OSError, ValueError, AttributeError, TypeError) as error:
-                raise FenceFault(f"{path}: holds no tokens: {error}") from None
+                raise FenceFileError(f"{path}: holds no tokens: {error}") from None
 
     def passed(self, duty: str, token: int) -> None:
         """Returns once the token is kept. Raises DutyError for an old owner's."""
@@ -41,7 +41,7 @@
 
 
 def write_whole(path: Path, content) -> None:
-    """The file holds this or what it held before, whenever the process dies. Raises FenceFault."""
+    """The file holds this or what it held before, whenever the process dies. Raises FenceFileError."""
     beside = path.with_name(path.name + ".new")
     try:
         with open(beside, "w", encoding="utf-8") as file:
@@ -50,7 +50,7 @@
             os.fsync(file.fileno())
         beside.replace(path)
     except OSError as error:
-        raise FenceFault(f"{path}: cannot be written: {error.strerror}") from None
+        raise FenceFileError(f"{path}: cannot be written: {error.strerror}") from None
 
 
 async def serve_owner(link: Link, hello: pb.Hello, name: str, council: CouncilSettings, carry_out) -> None:
@@ -74,7 +74,7 @@
         await link.send(encode(told), HELLO)
 
 
-def refused(order: pb.DutyOrder, fence: KeptFence, knows: tuple[int, ...]) -> str:
+def refused(order: pb.DutyOrder, fence: PersistentFence, knows: tuple[int, ...]) -> str:
     """Why it is not carried out, or empty: what every order passes before anything else. `knows`: kinds that are
     carried out here."""
     if order.kind == pb.HOST_LOOK:
@@ -83,6 +83,6 @@
         return "this is not done here"
     try:
         fence.passed(order.duty, order.token)
-    except (DutyError, FenceFault) as error:
+    except (DutyError, FenceFileError) as error:
         return str(error)
     return ""
--- a/linedeal/standin/tool.py
+++ b/linedeal/standin/tool.py
@@ -11,7 +11,7 @@
 from linedeal.net import Address, Link, LinkLostError, Net
 from linedeal.protocol import FrameReader, pb
 from linedeal.settings.records import CouncilSettings
-from linedeal.standin.orders import HELLO, FenceFault, KeptFence, refused, serve_owner, write_whole
+from linedeal.standin.orders import HELLO, FenceFileError, PersistentFence, refused, serve_owner, write_whole
 
 REPLACED = 25.0  # seconds for a host to be replaced
 
@@ -23,14 +23,14 @@
         self, net: Net, council: CouncilSettings, directory: Path | None, begin: Callable[[str, int], None]
     ):
         self.net, self.council, self.begin = net, council, begin
-        self.fence = KeptFence(directory and directory / "tool-fence.json")
+        self.fence = PersistentFence(directory and directory / "tool-fence.json")
         self.path = directory and directory / "tool-replaced.json"
         self.begun: dict[str, list[int]] = {}  # by campaign and host: boots that it began to replace
         if self.path is not None and self.path.exists():
             try:
                 self.begun = json.loads(self.path.read_text(encoding="utf-8"))
             except (OSError, ValueError) as error:
-                raise FenceFault(f"{self.path}: cannot be read: {error}") from None
+                raise FenceFileError(f"{self.path}: cannot be read: {error}") from None
         self.boots: dict[str, int] = {}
         self.changed = anyio.Event()
 
@@ -43,13 +43,13 @@
             with anyio.fail_after(HELLO):
                 hello = await link.receive()
             if isinstance(hello, pb.Hello) and hello.role == pb.OWNER:
-                await serve_owner(link, hello, "tool", self.council, self.ordered)
+                await serve_owner(link, hello, "tool", self.council, self.carry_out)
         except (LinkLostError, TimeoutError):
             pass  # an owner that goes asks again, or its successor does
         finally:
             await link.close()
 
-    async def ordered(self, order: pb.DutyOrder) -> pb.DutyTold:
+    async def carry_out(self, order: pb.DutyOrder) -> pb.DutyTold:
         """Done where the boot that is meant has been replaced by this campaign, now or before."""
         why = refused(order, self.fence, (pb.HOST_REPLACE,))
         known = f"{order.campaign}/{order.host}"
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -17,7 +17,7 @@
 from linedeal.settings.cluster import parse_cluster
 from linedeal.standin.discovery import Discovery
 from linedeal.standin.host import HostServer
-from linedeal.standin.model import Habits, HostModel
+from linedeal.standin.model import HostBehavior, HostModel
 from linedeal.state import Store
 from tests.engine_driver import CLUSTER
 
@@ -91,7 +91,7 @@
 
 
 @contextmanager
-def socket_cluster(directory, cluster=CLUSTER, habits=Habits(setup=0.02, life=0.4, look=0.001)):  # noqa: B008 - never changed
+def socket_cluster(directory, cluster=CLUSTER, habits=HostBehavior(setup=0.02, life=0.4, look=0.001)):  # noqa: B008 - never changed
     running_cluster = SocketCluster(directory, cluster, habits)
     with ExitStack() as stack:
         portal = stack.enter_context(anyio.from_thread.start_blocking_portal("asyncio"))
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from linedeal.audit import gather, judge
+from linedeal.audit import find_breaches
+from linedeal.audit import reconstruct_traffic as gather
 from linedeal.lab.record import Recorder
 from linedeal.lab.report import rows
 from linedeal.protocol import encode, pb
@@ -72,7 +73,7 @@
 
     def broken(self):
         self.r.mark(60.0, "end", "day")
-        return {(b.rule, round(b.t, 3)) for b in judge(gather(self.r.entries), CLUSTER)}
+        return {(b.rule, round(b.t, 3)) for b in find_breaches(gather(self.r.entries), CLUSTER)}
 
 
 def test_a_good_course_breaks_nothing():
@@ -329,7 +330,7 @@
 def test_value_counts_served_seconds_and_punctual_starts():
     from linedeal.lab import report
     from linedeal.lab.day import ControllerSpec, Day, HostSpec
-    from linedeal.standin.model import Habits
+    from linedeal.standin.model import HostBehavior
 
     s = Script()
     day = Day(
@@ -339,7 +340,7 @@
         1,
         60.0,
         (ControllerSpec("c", "z"),),
-        tuple(HostSpec(h, "std", "z", 0, Habits()) for h in "ab"),
+        tuple(HostSpec(h, "std", "z", 0, HostBehavior()) for h in "ab"),
         (),
         (),
     )
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from linedeal.audit import gather
-from linedeal.audit.duties import judge_duties
+from linedeal.audit import reconstruct_traffic
+from linedeal.audit.duties import find_duty_breaches
 from linedeal.duties import campaign, duty
 from linedeal.duties.campaign import (
     Bounds,
@@ -521,7 +521,7 @@
         )
 
     def breaches(self):
-        return {breach.claim for breach in judge_duties(gather(self.r.entries), AUDITED)}
+        return {breach.claim for breach in find_duty_breaches(reconstruct_traffic(self.r.entries), AUDITED)}
 
 
 def whole(record):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -145,7 +145,10 @@
 
 
 def find_breaches(ground, day):
-    return [str(breach) for breach in audit.judge(audit.gather(ground.recorder.entries), day.cluster)]
+    return [
+        str(breach)
+        for breach in audit.find_breaches(audit.reconstruct_traffic(ground.recorder.entries), day.cluster)
+    ]
 
 
 # Where a link fails: direction as the controller sees it, message, peer.
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -66,8 +66,8 @@
 
 def played(day, **rest):
     tally, entries = play_in_memory(day, **rest)
-    traffic = audit.gather(entries)
-    return traffic, audit.judge(traffic, day.cluster), tally
+    traffic = audit.reconstruct_traffic(entries)
+    return traffic, audit.find_breaches(traffic, day.cluster), tally
 
 
 def offers(traffic, host, since=0.0, until=1e9):
@@ -283,7 +283,7 @@
     traffic, breaches, tally = played(session_day(tmp_path, *KILLS))
     assert not breaches
     assert (
-        all(job.session and (job.answers or job.told) for job in traffic.jobs.values())
+        all(job.session and (job.answers or job.status_verdicts) for job in traffic.jobs.values())
         and len(traffic.jobs) > 50
     )
     assert not any(end in ("no answer", "unknown") for ends in tally.ends.values() for end in ends)
--- a/tests/test_drmaa.py
+++ b/tests/test_drmaa.py
@@ -35,12 +35,12 @@
 from linedeal.drmaa.errors import V1
 from linedeal.net import TcpNet
 from linedeal.settings.keys import hash_of
-from linedeal.standin.model import Habits
+from linedeal.standin.model import HostBehavior
 from tests.cluster_fixture import socket_cluster
 
 EXAMPLES = Path(__file__).parent.parent / "examples"
 CLUSTER = (EXAMPLES / "cluster.hcl").read_text().replace("controllers    = 4", "controllers    = 2")
-FAST = Habits(setup=0.02, life=0.3, look=0.001)
+FAST = HostBehavior(setup=0.02, life=0.3, look=0.001)
 
 
 @pytest.fixture(scope="module")
@@ -531,10 +531,10 @@
 
 
 def test_the_status_of_run_is_the_jobs(tmp_path):
-    with socket_cluster(tmp_path, CLUSTER, Habits(setup=0.02, life=0.1, look=0.001)) as failing:
+    with socket_cluster(tmp_path, CLUSTER, HostBehavior(setup=0.02, life=0.1, look=0.001)) as failing:
         assert "done at" in linedeal("run", "course-reader", contact=failing.contact).stdout
     # a job that its host fails has status 1, one that was ended has none and counts as 1 too
-    with socket_cluster(tmp_path / "long", CLUSTER, Habits(setup=0.02, life=500.0, look=0.001)) as slow:
+    with socket_cluster(tmp_path / "long", CLUSTER, HostBehavior(setup=0.02, life=500.0, look=0.001)) as slow:
         contact = slow.contact + "/run"
         process = subprocess.Popen(
             [sys.executable, "-m", "linedeal", "run", "course-reader"],
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -21,7 +21,7 @@
 from linedeal.settings.cluster import parse_cluster
 from linedeal.standin.discovery import Discovery
 from linedeal.standin.host import HostServer
-from linedeal.standin.model import Habits, HostModel
+from linedeal.standin.model import HostBehavior, HostModel
 from linedeal.state import Store
 from tests.engine_driver import CLUSTER
 
@@ -69,7 +69,7 @@
             name,
             "std",
             self.cluster,
-            Habits(**{"setup": 0.01, "life": 60.0, **habits}),
+            HostBehavior(**{"setup": 0.01, "life": 60.0, **habits}),
             1,
             random.Random(1),
             anyio.current_time(),
@@ -81,7 +81,7 @@
 
     def list_host(self, name, address, boot=1):
         """Adds a host that a test simulates itself to the host list."""
-        self.discovery.heard[name] = (
+        self.discovery.reports[name] = (
             anyio.current_time() + 1e6,
             pb.HostEntry(
                 id=name,
@@ -342,7 +342,7 @@
         await cluster.until(lambda: server.model.queue)
         tasks.cancel_scope.cancel()
     await cluster.until(lambda: not cluster.runtime.engine.unanswered)
-    await cluster.until(lambda: not server.model.copies and not cluster.runtime.engine.launches)
+    await cluster.until(lambda: not server.model.launches and not cluster.runtime.engine.launches)
 
 
 async def test_invalid_data_from_discovery_leaves_the_list_in_use(cluster):
@@ -477,7 +477,7 @@
     )
     await cluster.until(lambda: server.model.queue)
     await anyio.aclose_forcefully(stream)
-    await cluster.until(lambda: not cluster.runtime.engine.unanswered and not server.model.copies)
+    await cluster.until(lambda: not cluster.runtime.engine.unanswered and not server.model.launches)
 
 
 @pytest.mark.parametrize("when", ["before acceptance", "after the answer"])
@@ -495,14 +495,14 @@
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(owner, "reader-1")
-        await cluster.until(lambda: server.model.copies if when == "before acceptance" else answers)
+        await cluster.until(lambda: server.model.launches if when == "before acceptance" else answers)
         first.tasks.cancel_scope.cancel()  # like a kill: nothing more is answered or written
         first.store.close()
         await anyio.sleep(0.5)
         cluster.address = await restart(cluster, cluster.address)
     await owner("reader-2")
     assert len(answers) == 2 and {standing.stage for standing in answers} <= {"placed", "running"}
-    assert len(server.model.copies) == 2 and cluster.runtime.life == first.life + 1
+    assert len(server.model.launches) == 2 and cluster.runtime.life == first.life + 1
 
 
 async def restart(cluster, address):
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -465,7 +465,7 @@
                 await other.submit(WEB, "k")
         assert (
             sum(
-                len(host.model.over) + len(host.model.copies)
+                len(host.model.ended_launches) + len(host.model.launches)
                 for name, host in ground.servers.items()
                 if name.startswith("h")
             )
@@ -551,7 +551,7 @@
             copy.job.id
             for name, host in ground.servers.items()
             if name.startswith("h")
-            for copy in (*host.model.copies.values(), *host.model.over.values())
+            for copy in (*host.model.launches.values(), *host.model.ended_launches.values())
         ]
         assert len(copies) == len(set(copies))
         return {standing.stage for standing in found}
@@ -584,7 +584,7 @@
             runs = {}
             for name, host in ground.servers.items():
                 if name.startswith("h"):
-                    for copy in (*host.model.copies.values(), *host.model.over.values()):
+                    for copy in (*host.model.launches.values(), *host.model.ended_launches.values()):
                         if copy.began:
                             runs[copy.job.id] = runs.get(copy.job.id, 0) + 1
             for standing in found:
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -7,7 +7,7 @@
 import pytest
 
 from linedeal import audit
-from linedeal.audit.duties import carried_out, judge_duties
+from linedeal.audit.duties import executed_orders, find_duty_breaches
 from linedeal.duties.duty import DutyError
 from linedeal.fleet.operator import CouncilUnavailableError
 from linedeal.lab.day import DayFault, parse_day
@@ -93,10 +93,10 @@
                     await anyio.sleep(0.5)
 
         anyio.run(main)
-        self.traffic = audit.gather(read_record(self.directory / "day" / "traffic.jsonl"))
-        breaches = judge_duties(self.traffic, self.day.cluster)
+        self.traffic = audit.reconstruct_traffic(read_record(self.directory / "day" / "traffic.jsonl"))
+        breaches = find_duty_breaches(self.traffic, self.day.cluster)
         assert not breaches, breaches
-        broken = audit.judge(self.traffic, self.day.cluster)
+        broken = audit.find_breaches(self.traffic, self.day.cluster)
         assert not broken, broken
         return self
 
@@ -140,7 +140,7 @@
     release = Release(tmp_path, "at 1 campaign r1 hosts most=2\n").play()
     assert release.standing.progress.ended == "done" and len(release.standing.progress.done) == 6
     assert set(release.boots().values()) == {2}
-    drained = [order for order in carried_out(release.traffic) if order.kind == pb.HOST_DRAIN]
+    drained = [order for order in executed_orders(release.traffic) if order.kind == pb.HOST_DRAIN]
     assert len({order.host for order in drained}) == 6 and len(release.traffic.jobs) > 50
 
 
@@ -261,7 +261,7 @@
         )
 
     async def ask(token):
-        told[token] = await tool.ordered(order(token))
+        told[token] = await tool.carry_out(order(token))
 
     async with anyio.create_task_group() as tasks:
         with anyio.fail_after(5):
