--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -19,7 +19,7 @@
 
 from linedeal import audit
 from linedeal.audit.duties import campaign_outcomes, find_duty_breaches
-from linedeal.client.client import Client, JobAsk
+from linedeal.client.client import Client, JobRequest
 from linedeal.lab.day import Day, parse_day
 from linedeal.lab.load import Owners, Tally
 from linedeal.lab.processes import Processes
@@ -138,7 +138,7 @@
             ):  # irreversible jobs that never end: hosts drain for as long as it lasts
                 async with Client.connect(TcpNet(), ground.controllers[controller], "owner") as client:
                     for _ in range(8):
-                        await client.submit(JobAsk("feed", "", "s", 1.0, 1.0))
+                        await client.submit(JobRequest("feed", "", "s", 1.0, 1.0))
             await operator.begin("bench", tuple(f"h{n:02}" for n in range(1, 5)), {})
             await until(lambda: out_of(operator), 30)
             begun = time.monotonic()
@@ -311,7 +311,7 @@
                         for _ in range(arguments.jobs):
                             at = time.perf_counter()
                             answer = await client.submit(
-                                JobAsk("web", "", f"s{chance.randrange(9)}", 0.01, 0.01)
+                                JobRequest("web", "", f"s{chance.randrange(9)}", 0.01, 0.01)
                             )
                             assert answer.verdict == "placed", answer
                             delays[kind].append(time.perf_counter() - at)
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -19,7 +19,7 @@
 import anyio
 
 from linedeal import audit
-from linedeal.client import JobAsk, TurnedAway
+from linedeal.client import JobRequest, JobDeclinedError
 from linedeal.client.contact import Contact
 from linedeal.client.owner import Owner
 from linedeal.lab.day import parse_day
@@ -68,28 +68,28 @@
 
     async def own(owner, ask):
         try:
-            key = await owner.submit(ask, within=60.0)
-        except TurnedAway:
+            key = await owner.submit(ask, timeout=60.0)
+        except JobDeclinedError:
             found["turned away"] += 1
             return
         except TimeoutError:
             found["not taken in 60 s"] += 1
             return
         with anyio.move_on_after(60.0) as late:
-            await owner.until([key], lambda standing: standing.over)
+            await owner.wait_until([key], lambda standing: standing.over)
         if late.cancelled_caught:
             found["never"] += 1
             return
-        standing = owner.standing(key)
+        standing = owner.status(key)
         found[f"{ask.offering} {standing.stage}"] += 1
         found["taken"] += 1
         await owner.forget(key)
 
     async def load(name):
-        async with Owner.open(ground.net, Contact(((name, 1),), f"owner-{name}"), within=30.0) as owner:
+        async with Owner.open(ground.net, Contact(((name, 1),), f"owner-{name}"), timeout=30.0) as owner:
             async with anyio.create_task_group() as tasks:
                 for number in range(jobs // 2):
-                    ask = JobAsk(("web", "mail", "feed")[number % 3], "", f"s{number % 9}", 1.0, 1.0)
+                    ask = JobRequest(("web", "mail", "feed")[number % 3], "", f"s{number % 9}", 1.0, 1.0)
                     tasks.start_soon(own, owner, ask)
                     await anyio.sleep(1 / RATE)
 
--- a/linedeal/cli_jobs.py
+++ b/linedeal/cli_jobs.py
@@ -29,36 +29,36 @@
 
     @asynccontextmanager
     async def opened(contact: str):
-        from linedeal.client.contact import ContactFault, parse_contact, token_of
-        from linedeal.client.owner import NoSuchJob, OrderRefused, Owner, OwnerFault
-        from linedeal.client.client import TurnedAway
+        from linedeal.client.contact import ContactError, parse_contact, token_of
+        from linedeal.client.owner import NoSuchJobError, OrderRefusedError, Owner, SessionOpenError
+        from linedeal.client.client import JobDeclinedError
         from linedeal.net import TcpNet
 
         try:
             place = parse_contact(contact) if contact else None
             token = token_of(place.customer) if place else ""
-        except ContactFault as error:
+        except ContactError as error:
             raise fault(f"contact {error}", 2) from None
         if place is None:
             raise fault("no contact: --contact or LINEDEAL_CONTACT", 2)
         try:
             async with Owner.open(TcpNet(), place, token) as owner:
                 yield owner
-        except OwnerFault as error:
+        except SessionOpenError as error:
             raise fault(str(error), 3) from None
-        except NoSuchJob as error:
+        except NoSuchJobError as error:
             raise fault(
                 f"no job {error.args[0]!r} in session {place.session or 'without a name'}", 1
             ) from None
-        except OrderRefused as error:
+        except OrderRefusedError as error:
             raise fault(f"not done: {error}", 1) from None
-        except TurnedAway as error:
+        except JobDeclinedError as error:
             raise fault(f"turned away: {error}", 1) from None
         except TimeoutError:
             raise fault("not within its time", 1) from None
 
     def work_of(offering, command, service, customer, cores, memory, wait, name):
-        from linedeal.client import JobAsk
+        from linedeal.client import JobRequest
         from linedeal.protocol import pb
 
         service = service or (Path(command[0]).name if command else "by-hand")
@@ -67,7 +67,7 @@
             if command
             else (pb.Work(name=name) if name else None)
         )
-        return JobAsk(offering, customer, service, cores, memory, wait), work
+        return JobRequest(offering, customer, service, cores, memory, wait), work
 
     @app.command(
         "run",
@@ -86,7 +86,7 @@
         as_json: JSON = False,
     ):
         """Submits a job, follows it, and exits with its status; 1 where it has none. Ctrl-C ends the job."""
-        from linedeal.client.owner import END, NoSuchJob, OrderRefused
+        from linedeal.client.owner import END, NoSuchJobError, OrderRefusedError
 
         ask, work = work_of(offering, command or [], service, customer, cores, memory, wait, name)
         found = []
@@ -97,7 +97,7 @@
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(show, owner, [key], as_json)
                     tasks.start_soon(end_on_signal, owner, key)
-                    found.append(await owner.until_over(key))
+                    found.append(await owner.wait_until_over(key))
                     tasks.cancel_scope.cancel()
                 await owner.forget(key)
 
@@ -108,7 +108,7 @@
                 async for _ in signals:
                     try:
                         await owner.order(key, END)
-                    except (OrderRefused, NoSuchJob):
+                    except (OrderRefusedError, NoSuchJobError):
                         pass  # it has just ended by itself
 
         run(go)
@@ -161,8 +161,8 @@
                 else:
                     keys = [await owner.submit(ask, key, work, hold, start_in)]
                 if answer:
-                    await owner.until(keys, lambda standing: standing.answered, every=True)
-                standings.extend(owner.standing(key) for key in keys)
+                    await owner.wait_until(keys, lambda standing: standing.answered, every=True)
+                standings.extend(owner.status(key) for key in keys)
 
         run(go)
         if as_json:
@@ -173,7 +173,7 @@
             raise typer.Exit(1)
 
     def without_session(to, ask, as_json):
-        from linedeal.client import Client, ClientLost, TurnedAway
+        from linedeal.client import Client, ConnectionLostError, JobDeclinedError
         from linedeal.net import TcpNet, parse_address
 
         try:
@@ -187,10 +187,10 @@
                 async with Client.connect(TcpNet(), address, "submit") as client:
                     answered = await client.submit(ask)
                 found.update(verdict=answered.verdict, job=answered.job, host=answered.host)
-            except TurnedAway as error:
+            except JobDeclinedError as error:
                 found.update(verdict="turned away", reason=str(error), retry_after=error.retry_after)
-            except ClientLost as error:
-                found.update(verdict="lost", reason=str(error), may_have_run=error.taken)
+            except ConnectionLostError as error:
+                found.update(verdict="lost", reason=str(error), may_have_run=error.may_have_run)
 
         run(go)
         print(json.dumps(found) if as_json else ", ".join(f"{k} {v}" for k, v in found.items() if v != ""))
@@ -231,7 +231,7 @@
                 found.extend(
                     [await owner.find(key) for key in keys]
                     if keys
-                    else [owner.standing(key) for key in owner.keys() if test(owner.standing(key))]
+                    else [owner.status(key) for key in owner.keys() if test(owner.status(key))]
                 )
                 found.sort(key=lambda standing: standing.taken_at or 0.0)
 
@@ -267,7 +267,7 @@
                 with anyio.fail_after(timeout or None):  # outside the tasks, which would wrap its error
                     async with anyio.create_task_group() as tasks:
                         tasks.start_soon(show, owner, keys, as_json)
-                        found.extend(await owner.until(keys, lambda standing: standing.over, not any_))
+                        found.extend(await owner.wait_until(keys, lambda standing: standing.over, not any_))
                         tasks.cancel_scope.cancel()
 
         run(go)
@@ -286,7 +286,7 @@
                     for key in keys:
                         await owner.find(key)
                         await owner.order(key, kind)
-                        print(f"{key}  {line(owner.standing(key))}")
+                        print(f"{key}  {line(owner.status(key))}")
 
             run(go)
 
@@ -321,7 +321,7 @@
             return
         try:
             print(build.library(directory))
-        except build.BuildFault as error:
+        except build.BuildError as error:
             raise fault(str(error), 3) from None
 
     @app.command("drmaa-agent", hidden=True)
@@ -375,10 +375,10 @@
         while True:
             counts: dict[str, int] = {}
             for key in keys:
-                stage = owner.standing(key).stage
+                stage = owner.status(key).stage
                 counts[stage] = counts.get(stage, 0) + 1
             said = (
-                line(owner.standing(keys[0]))
+                line(owner.status(keys[0]))
                 if len(keys) == 1
                 else ", ".join(f"{count} {stage}" for stage, count in counts.items())
             )
--- a/linedeal/client/client.py
+++ b/linedeal/client/client.py
@@ -1,7 +1,7 @@
 """One link to one controller, with many jobs on it.
 
 async with Client.connect(net, address, "school-7") as client:
-    answer = await client.submit(JobAsk("course-reader", "school", "readers", 2.0, 4.0))
+    answer = await client.submit(JobRequest("course-reader", "school", "readers", 2.0, 4.0))
 """
 
 from contextlib import asynccontextmanager
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JobAsk:
+class JobRequest:
     """Cores, memory in the cluster's unit, seconds to wait (0: as long as the offering allows)."""
 
     offering: str
@@ -37,7 +37,7 @@
     host: str
 
 
-class TurnedAway(Exception):
+class JobDeclinedError(Exception):
     """The controller did not take the job: it holds nothing of it, and trying again is harmless."""
 
     def __init__(self, reason: str, retry_after: float):
@@ -45,13 +45,13 @@
         self.retry_after = retry_after  # seconds; 0 where trying again will not help
 
 
-class ClientLost(Exception):
-    """The link ended before the answer. `taken` tells whether the controller had taken the job by then: if so it
+class ConnectionLostError(Exception):
+    """The link ended before the answer. `may_have_run` tells whether the controller had taken the job by then: if so it
     may have run, and only a redoable one may be asked for again."""
 
-    def __init__(self, why: str, taken: bool):
+    def __init__(self, why: str, may_have_run: bool):
         super().__init__(why)
-        self.taken = taken
+        self.may_have_run = may_have_run
 
 
 @dataclass(slots=True, eq=False)
@@ -66,15 +66,15 @@
         self.link = link
         self.waiting: dict[str, Waiting] = {}
         self.keys = 0
-        self.lost = ""
+        self.disconnect_reason = ""
         self.writing = anyio.Lock()
 
     @classmethod
     @asynccontextmanager
     async def connect(
-        cls, net: Net, address: Address, name: str, within: float = 5.0
+        cls, net: Net, address: Address, name: str, timeout: float = 5.0
     ) -> AsyncIterator["Client"]:
-        """A client for the block; leaving it takes back all that still waits. Raises ClientLost.
+        """A client for the block; leaving it takes back all that still waits. Raises ConnectionLostError.
 
         Jobs that outlive link and controller are asked for by a `client.Owner`.
         """
@@ -84,13 +84,13 @@
                 address,
                 FrameReader(),
                 encode(pb.Hello(version=VERSION, role=pb.CLIENT, name=name)),
-                within,
+                timeout,
             )
         except LinkLostError as error:
-            raise ClientLost(str(error), False) from None
+            raise ConnectionLostError(str(error), False) from None
         if isinstance(welcome, pb.Bye):
             await link.close()
-            raise ClientLost(f"told to go: {welcome.reason}", False)
+            raise ConnectionLostError(f"told to go: {welcome.reason}", False)
         client, fault = cls(link), None
         try:
             async with anyio.create_task_group() as tasks:
@@ -119,16 +119,16 @@
                     waiting.result = message
                     waiting.event.set()
         except LinkLostError as error:
-            self.lost = str(error)
+            self.disconnect_reason = str(error)
             for waiting in self.waiting.values():
                 waiting.event.set()
 
-    async def submit(self, ask: JobAsk, key: str = "") -> Answered:
-        """The job's one answer. Raises TurnedAway or ClientLost. Cancelled, it takes the job back."""
+    async def submit(self, ask: JobRequest, key: str = "") -> Answered:
+        """The job's one answer. Raises JobDeclinedError or ConnectionLostError. Cancelled, it takes the job back."""
         self.keys += 1
         key = key or f"j{self.keys}"
-        if self.lost:
-            raise ClientLost(self.lost, False)
+        if self.disconnect_reason:
+            raise ConnectionLostError(self.disconnect_reason, False)
         waiting = self.waiting[key] = Waiting(anyio.Event())
         spec = pb.JobSpec(
             offering=ask.offering,
@@ -141,7 +141,7 @@
             await self.send(pb.Submit(key=key, job=spec, wait=ask.wait))
             await waiting.event.wait()
         except LinkLostError as error:
-            raise ClientLost(str(error), True) from None  # the job may have got there
+            raise ConnectionLostError(str(error), True) from None  # the job may have got there
         except anyio.get_cancelled_exc_class():
             with anyio.CancelScope(shield=True), anyio.move_on_after(1.0):
                 await self.take_back(key)
@@ -150,9 +150,9 @@
             del self.waiting[key]
         message = waiting.result
         if message is None:
-            raise ClientLost(self.lost, True)
+            raise ConnectionLostError(self.disconnect_reason, True)
         if isinstance(message, pb.TurnedAway):
-            raise TurnedAway(message.reason, message.retry_after)
+            raise JobDeclinedError(message.reason, message.retry_after)
         return Answered(message.job, VERDICTS.get(message.verdict, "written off"), message.host)
 
     async def take_back(self, key: str) -> None:
--- a/linedeal/client/contact.py
+++ b/linedeal/client/contact.py
@@ -15,7 +15,7 @@
 SESSION_MOST = 120
 
 
-class ContactFault(ValueError):
+class ContactError(ValueError):
     """The text names no session that could be opened; says why."""
 
 
@@ -48,17 +48,17 @@
     if query:
         name, _, customer = query.partition("=")
         if name != "customer" or not customer:
-            raise ContactFault(f"{text!r}: only ?customer=NAME may follow the session")
+            raise ContactError(f"{text!r}: only ?customer=NAME may follow the session")
     if not places:
-        raise ContactFault(f"{text!r}: names no controller")
+        raise ContactError(f"{text!r}: names no controller")
     if len(session) > SESSION_MOST or not all(c.isalnum() or c in "-_." for c in session):
-        raise ContactFault(
+        raise ContactError(
             f"{text!r}: a session is letters, digits, '-', '_' and '.', {SESSION_MOST} at most"
         )
     try:
         return Contact(tuple(parse_address(place) for place in places.split(",")), session, customer)
     except ValueError as error:
-        raise ContactFault(str(error)) from None
+        raise ContactError(str(error)) from None
 
 
 def default_contact() -> str:
@@ -75,4 +75,4 @@
     try:
         return Path(place).read_text(encoding="utf-8").splitlines()[0].strip()
     except (OSError, UnicodeDecodeError, IndexError) as error:
-        raise ContactFault(f"{place}: no key can be read: {error}") from None
+        raise ContactError(f"{place}: no key can be read: {error}") from None
--- a/linedeal/client/owner.py
+++ b/linedeal/client/owner.py
@@ -1,10 +1,10 @@
 """The owner of a session's jobs: asks, follows, orders and waits, over broken links and dead controllers.
 
     async with Owner.open(TcpNet(), parse_contact("127.0.0.1:7100/readers")) as owner:
-        job = await owner.submit(JobAsk("course-reader", "school", "readers", 2.0, 4.0))
-        done = await owner.until_over(job)
+        job = await owner.submit(JobRequest("course-reader", "school", "readers", 2.0, 4.0))
+        done = await owner.wait_until_over(job)
 
-One task a controller keeps the link to it; `course` says what a broken one means for each job. What the owner hears
+One task a controller keeps the link to it; `retry_rules` says what a broken one means for each job. What the owner hears
 is kept by key; whoever waits is woken at each change.
 """
 
@@ -18,10 +18,10 @@
 
 import anyio
 
-from linedeal.client import course
-from linedeal.client.client import JobAsk, TurnedAway
+from linedeal.client import retry_rules
+from linedeal.client.client import JobRequest, JobDeclinedError
 from linedeal.client.contact import Contact
-from linedeal.client.course import Next, State
+from linedeal.client.retry_rules import Next, State
 from linedeal.net import Address, Link, LinkLostError, Net, open_link
 from linedeal.protocol import VERSION, FrameReader, encode, pb
 
@@ -38,7 +38,7 @@
 BEFORE, AT_HOST = ("held", "later", "waiting"), ("placed", "running")
 
 
-class OwnerFault(Exception):
+class SessionOpenError(Exception):
     """No controller can be reached, or none lets this owner in; `refused`: one did not take the customer's key."""
 
     def __init__(self, text: str, refused: bool):
@@ -46,11 +46,11 @@
         self.refused = refused
 
 
-class NoSuchJob(KeyError):
+class NoSuchJobError(KeyError):
     """No controller of the contact knows the key."""
 
 
-class OrderRefused(Exception):
+class OrderRefusedError(Exception):
     """The job does not stand so that the order could be followed; the text says how it stands."""
 
 
@@ -65,7 +65,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class JobStatus:
     """How a job stands. `stage`: asked, held, later, waiting, placed, running, done, error, lost, stopped, rejected,
     written off, refused or unknown. Times are those of this machine's time of day; None: not yet."""
 
@@ -102,19 +102,19 @@
     key: str
     home: "Home"
     submit: pb.Submit | None
-    standing: Standing
+    standing: JobStatus
     state: State = State.ASKED
     sent: bool = False
     redoable: bool = False
     told_safe: bool = False
     taken: anyio.Event = field(default_factory=anyio.Event)
-    turned: TurnedAway | None = None
+    turned: JobDeclinedError | None = None
     turns: int = 0
     begin_by: float = 0.0
     left: list["Home"] = field(default_factory=list)  # asked before; what they still hold is ended
 
-    def view(self) -> course.View:
-        return course.View(self.state, self.sent, self.redoable, self.told_safe)
+    def view(self) -> retry_rules.View:
+        return retry_rules.View(self.state, self.sent, self.redoable, self.told_safe)
 
 
 @dataclass(slots=True, eq=False)
@@ -152,12 +152,14 @@
         contact: Contact,
         token: str = "",
         patience: float = PATIENCE,
-        first: int | None = None,
+        first_controller: int | None = None,
     ):
         self.net, self.contact, self.token, self.patience = net, contact.named(), token, patience
         # sessions begin at different controllers, so that no single one gets them all
         turn = (
-            zlib.crc32(self.contact.session.encode()) % len(contact.controllers) if first is None else first
+            zlib.crc32(self.contact.session.encode()) % len(contact.controllers)
+            if first_controller is None
+            else first_controller
         )
         places = contact.controllers[turn:] + contact.controllers[:turn]
         self.homes = [Home(address) for address in places]
@@ -178,18 +180,18 @@
         net: Net,
         contact: Contact,
         token: str = "",
-        within: float = 5.0,
+        timeout: float = 5.0,
         patience: float = PATIENCE,
-        first: int | None = None,
+        first_controller: int | None = None,
     ) -> AsyncIterator["Owner"]:
-        """The session for the block; its jobs go on when it is left. `first`: which of the contact's controllers new
-        jobs go to while it is there; else the session's name says. Raises OwnerFault if no controller answers."""
-        owner = cls(net, contact, token, patience, first)
+        """The session for the block; its jobs go on when it is left. `first_controller`: which of the contact's controllers new
+        jobs go to while it is there; else the session's name says. Raises SessionOpenError if no controller answers."""
+        owner = cls(net, contact, token, patience, first_controller)
         async with anyio.create_task_group() as tasks:
             for home in owner.homes:
                 tasks.start_soon(owner.keep, home)
             tasks.start_soon(owner.mind)
-            with anyio.move_on_after(within):
+            with anyio.move_on_after(timeout):
                 while not any(home.heard for home in owner.homes) and not all(
                     home.refuses for home in owner.homes
                 ):
@@ -205,7 +207,7 @@
                 except Exception as error:
                     fault = error  # a task group would wrap it
             else:
-                fault = OwnerFault(
+                fault = SessionOpenError(
                     "; ".join(f"{home}: {home.why}" for home in owner.homes),
                     any(home.refuses for home in owner.homes),
                 )
@@ -217,16 +219,16 @@
 
     async def submit(
         self,
-        ask: JobAsk,
+        ask: JobRequest,
         key: str = "",
         work: pb.Work | None = None,
         hold: bool = False,
         start_in: float = 0.0,
-        within: float = ASK_WITHIN,
+        timeout: float = ASK_WITHIN,
     ) -> str:
         """Asks for a job and waits until it is taken; its key. The same key and content joins what was asked before.
 
-        Raises TurnedAway where it is not taken, TimeoutError after `within` seconds: then it may be.
+        Raises JobDeclinedError where it is not taken, TimeoutError after `timeout` seconds: then it may be.
         """
         key = key or self.new_key()
         spec = pb.JobSpec(
@@ -246,7 +248,7 @@
                     key,
                     home,
                     message,
-                    Standing(
+                    JobStatus(
                         key,
                         "asked",
                         ask.offering,
@@ -260,9 +262,9 @@
                 )
             else:
                 known.submit, known.taken, known.turned = message, anyio.Event(), None
-            known.begin_by = anyio.current_time() + within
+            known.begin_by = anyio.current_time() + timeout
             await self.ask(known)
-            with anyio.fail_after(within + 1.0):
+            with anyio.fail_after(timeout + 1.0):
                 await known.taken.wait()
         if known.turned is not None:
             raise known.turned
@@ -275,20 +277,20 @@
 
     async def submit_many(
         self,
-        asks: Iterable[tuple[JobAsk, str, pb.Work | None]],
+        asks: Iterable[tuple[JobRequest, str, pb.Work | None]],
         hold: bool = False,
         start_in: float = 0.0,
-        within: float = ASK_WITHIN,
+        timeout: float = ASK_WITHIN,
     ) -> list[str]:
-        """All of them taken, or TurnedAway for the first that was not: then those taken are ended again. Raises
+        """All of them taken, or JobDeclinedError for the first that was not: then those taken are ended again. Raises
         TimeoutError as `submit`: then some may be taken."""
         asks = list(asks)
-        faults: list[TurnedAway | TimeoutError] = []
+        faults: list[JobDeclinedError | TimeoutError] = []
 
         async def one(ask, key, work):
             try:
-                await self.submit(ask, key, work, hold, start_in, within)
-            except (TurnedAway, TimeoutError) as error:
+                await self.submit(ask, key, work, hold, start_in, timeout)
+            except (JobDeclinedError, TimeoutError) as error:
                 faults.append(error)
 
         for at in range(0, len(asks), UNSEEN_MOST):
@@ -305,7 +307,7 @@
                 if key in self.courses and self.courses[key].state is not State.REFUSED:
                     try:
                         await self.order(key, END)
-                    except OrderRefused:
+                    except OrderRefusedError:
                         pass  # it is over already
             raise faults[0]
         return [key for _, key, _ in asks]
@@ -317,29 +319,29 @@
 
     # -- following
 
-    def standing(self, key: str) -> Standing:
-        """How the job stands by what was heard last. Raises NoSuchJob."""
+    def status(self, key: str) -> JobStatus:
+        """How the job stands by what was heard last. Raises NoSuchJobError."""
         try:
             return self.courses[key].standing
         except KeyError:
-            raise NoSuchJob(key) from None
+            raise NoSuchJobError(key) from None
 
-    async def find(self, key: str, within: float = 5.0) -> Standing:
-        """As `standing`; waits for controllers that have not been heard yet, since one of them may know the job."""
-        with anyio.move_on_after(within):
+    async def find(self, key: str, timeout: float = 5.0) -> JobStatus:
+        """As `status`; waits for controllers that have not been heard yet, since one of them may know the job."""
+        with anyio.move_on_after(timeout):
             while key not in self.courses and not all(home.heard or home.refuses for home in self.homes):
                 await self.change()
-        return self.standing(key)
+        return self.status(key)
 
     def keys(self) -> list[str]:
         """Of all jobs that are not forgotten, in the order in which they were taken, as far as heard."""
         return list(self.courses)
 
-    async def until(self, keys: Iterable[str], test, every: bool = False) -> list[Standing]:
-        """Waits until `test` holds of one job, or of every one; those of which it holds. Raises NoSuchJob."""
+    async def wait_until(self, keys: Iterable[str], test, every: bool = False) -> list[JobStatus]:
+        """Waits until `test` holds of one job, or of every one; those of which it holds. Raises NoSuchJobError."""
         keys = list(keys)
         missing, seen = dict.fromkeys(keys), self.news_count
-        held = {key: standing for key in missing if test(standing := self.standing(key))}
+        held = {key: standing for key in missing if test(standing := self.status(key))}
         while not held or every and len(held) < len(missing):
             await self.change()
             # only what has changed is looked at again: a bulk of 10,000 changes 30,000 times
@@ -347,12 +349,12 @@
             fresh = missing if new > len(self.news) else [self.news[-back] for back in range(new, 0, -1)]
             seen = self.news_count
             for key in fresh:
-                if key in missing and test(standing := self.standing(key)):
+                if key in missing and test(standing := self.status(key)):
                     held[key] = standing
         return [held[key] for key in missing if key in held]
 
-    async def until_over(self, key: str) -> Standing:
-        return (await self.until([key], lambda standing: standing.over))[0]
+    async def wait_until_over(self, key: str) -> JobStatus:
+        return (await self.wait_until([key], lambda standing: standing.over))[0]
 
     async def change(self) -> None:
         await self.changed.wait()
@@ -367,26 +369,26 @@
     # -- ordering
 
     async def order(self, key: str, kind: int) -> None:
-        """Holds, releases or ends a job; returns when its controller has done so. Raises OrderRefused, NoSuchJob."""
+        """Holds, releases or ends a job; returns when its controller has done so. Raises OrderRefusedError, NoSuchJobError."""
         job = self.courses.get(key)
         if job is None:
-            raise NoSuchJob(key)
+            raise NoSuchJobError(key)
         waiting = Waiting(kind)
         job.home.orders.setdefault(key, deque()).append(waiting)
         await self.send(job.home, pb.Order(key=key, kind=kind))
         await waiting.done.wait()
         reply = waiting.reply
         # an order that was sent again after a break may have been followed the first time
-        if reply.fault == pb.WRONG_STATE and not (waiting.again and followed(kind, self.standing(key))):
-            raise OrderRefused(reply.reason)
+        if reply.fault == pb.WRONG_STATE and not (waiting.again and followed(kind, self.status(key))):
+            raise OrderRefusedError(reply.reason)
         if reply.fault == pb.NO_SUCH_JOB:
-            raise NoSuchJob(key)
+            raise NoSuchJobError(key)
 
     async def forget(self, key: str) -> None:
         """Nothing more is heard of a job that is over; its controller drops it too."""
         job = self.courses.get(key)
         if job is None:
-            raise NoSuchJob(key)
+            raise NoSuchJobError(key)
         if job.standing.over:
             del self.courses[key]
             if job.left:
@@ -477,7 +479,7 @@
         home.heard = True
         for job in list(self.courses.values()):
             if job.home is home:
-                match course.home_back(job.view(), job.key in listed):
+                match retry_rules.home_back(job.view(), job.key in listed):
                     case Next.UNKNOWN:
                         self.settle(
                             job, State.UNKNOWN, "unknown", "its controller knows nothing of it any more"
@@ -531,7 +533,7 @@
                 message.key,
                 home,
                 None,
-                Standing(message.key, "asked"),
+                JobStatus(message.key, "asked"),
                 sent=True,
                 redoable=self.effects.get(message.job.offering, False),
             )
@@ -555,7 +557,7 @@
         if job is None or job.home is not home or job.submit is None:
             return
         if not message.retry_after or anyio.current_time() + message.retry_after > job.begin_by:
-            fault = TurnedAway(message.reason, message.retry_after)
+            fault = JobDeclinedError(message.reason, message.retry_after)
             if job.state is State.ASKED:
                 self.settle(job, State.REFUSED, "refused", message.reason)
             job.turned = fault
@@ -586,7 +588,7 @@
         known = job.standing
         job.state, job.standing = (
             state,
-            Standing(
+            JobStatus(
                 job.key,
                 stage,
                 known.offering,
@@ -630,14 +632,15 @@
             if (
                 job.home.link is None
                 and job.submit is not None
-                and course.home_away(job.view(), now - job.home.lost_at, self.patience, True) is Next.MOVE
+                and retry_rules.home_away(job.view(), now - job.home.lost_at, self.patience, True)
+                is Next.MOVE
             ):
                 job.left.append(job.home)
                 job.home, job.state, job.sent = here[0], State.ASKED, False
                 await self.ask(job)
 
 
-def followed(kind: int, standing: Standing) -> bool:
+def followed(kind: int, standing: JobStatus) -> bool:
     """Whether the job stands as if the order had been followed."""
     if kind == HOLD:
         return standing.stage == "held"
@@ -646,7 +649,7 @@
     return standing.over or standing.ending
 
 
-def standing_of(message: pb.Standing, now: float) -> Standing:
+def standing_of(message: pb.Standing, now: float) -> JobStatus:
     def at(ago):
         return None if ago < 0 else now - ago
 
@@ -658,7 +661,7 @@
             message.ran.core_seconds,
             message.ran.memory,
         )
-    return Standing(
+    return JobStatus(
         message.key,
         STAGES.get(message.stage, "unknown"),
         job.offering,
--- a/linedeal/drmaa/build.py
+++ b/linedeal/drmaa/build.py
@@ -11,7 +11,7 @@
 FLAGS = ("-std=c11", "-O2", "-fPIC", "-shared", "-Wall", "-Wextra", "-Werror", "-pthread")
 
 
-class BuildFault(Exception):
+class BuildError(Exception):
     """No compiler, no place, or the compiler's own words; one line."""
 
 
@@ -32,7 +32,7 @@
 
 
 def library(place: Path | None = None) -> Path:
-    """The path of the shared library, built if it is not there. Raises BuildFault."""
+    """The path of the shared library, built if it is not there. Raises BuildError."""
     place = place or usual_place()
     text = (SOURCE / "drmaa.c").read_bytes() + (SOURCE / "drmaa.h").read_bytes() + sys.executable.encode()
     target = place / f"libdrmaa-{hashlib.sha256(text).hexdigest()[:12]}.so"
@@ -40,7 +40,7 @@
         return target
     cc = compiler()
     if not cc:
-        raise BuildFault("no C compiler: set CC, or install one")
+        raise BuildError("no C compiler: set CC, or install one")
     try:
         place.mkdir(parents=True, exist_ok=True)
         # built beside and moved: two that build at once do not meet, and a half-written file is never loaded
@@ -61,10 +61,10 @@
             timeout=120,
         )
         if done.returncode:
-            raise BuildFault(f"{cc}: {(done.stderr.strip() or 'failed').splitlines()[0]}")
+            raise BuildError(f"{cc}: {(done.stderr.strip() or 'failed').splitlines()[0]}")
         half.replace(target)
     except OSError as error:
-        raise BuildFault(f"{error.filename or place}: {error.strerror}") from None
+        raise BuildError(f"{error.filename or place}: {error.strerror}") from None
     except subprocess.TimeoutExpired:
-        raise BuildFault(f"{cc}: took over 120 s") from None
+        raise BuildError(f"{cc}: took over 120 s") from None
     return target
--- a/linedeal/drmaa/model.py
+++ b/linedeal/drmaa/model.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from linedeal.client.owner import Standing
+from linedeal.client.owner import JobStatus
 
 
 class JobState(Enum):
@@ -101,7 +101,7 @@
     finish_time: float | None
 
 
-def info_of(standing: Standing) -> JobInfo:
+def info_of(standing: JobStatus) -> JobInfo:
     ran = standing.ran
     return JobInfo(
         standing.key,
--- a/linedeal/drmaa/session.py
+++ b/linedeal/drmaa/session.py
@@ -6,9 +6,18 @@
 
 import anyio
 
-from linedeal.client.client import TurnedAway
-from linedeal.client.contact import Contact, ContactFault, default_contact, parse_contact, token_of
-from linedeal.client.owner import END, HOLD, RELEASE, NoSuchJob, OrderRefused, Owner, OwnerFault, Standing
+from linedeal.client.client import JobDeclinedError
+from linedeal.client.contact import Contact, ContactError, default_contact, parse_contact, token_of
+from linedeal.client.owner import (
+    END,
+    HOLD,
+    RELEASE,
+    NoSuchJobError,
+    OrderRefusedError,
+    Owner,
+    SessionOpenError,
+    JobStatus,
+)
 from linedeal.drmaa import errors, translate
 from linedeal.drmaa.errors import V1
 from linedeal.drmaa.model import STATES, JobInfo, JobState, JobTemplate, info_of
@@ -30,7 +39,7 @@
         if name:
             contact = parse_contact(str(Contact(contact.controllers, name, contact.customer)))
         return contact.named()
-    except ContactFault as error:
+    except ContactError as error:
         raise errors.InvalidSession(str(error), V1.INVALID_CONTACT_STRING) from None
 
 
@@ -42,12 +51,12 @@
     place = contact_of(contact, name)
     try:
         token = token or token_of(place.customer)
-    except ContactFault as error:
+    except ContactError as error:
         raise errors.InvalidSession(str(error), V1.AUTH_FAILURE) from None
     try:
         async with Owner.open(net or TcpNet(), place, token) as owner:
             yield AsyncJobSession(owner)
-    except OwnerFault as fault:
+    except SessionOpenError as fault:
         if fault.refused:
             raise errors.InvalidSession(str(fault), V1.AUTH_FAILURE) from None
         raise errors.DrmCommunication(str(fault)) from None
@@ -70,18 +79,18 @@
         """The cluster's offerings, as its controllers tell them."""
         return tuple(sorted(self.owner.effects))
 
-    async def run_job(self, template: JobTemplate, within: float = 30.0) -> "AsyncJob":
+    async def run_job(self, template: JobTemplate, timeout: float = 30.0) -> "AsyncJob":
         """Returns when the cluster has taken the job. Raises DeniedByDrms, TryLater, InvalidArgument,
         UnsupportedAttribute, DrmCommunication."""
         request = self.request(template)
         with submitting():
             key = await self.owner.submit(
-                request.ask, "", request.work, request.hold, request.start_in, within
+                request.ask, "", request.work, request.hold, request.start_in, timeout
             )
         return AsyncJob(self, key)
 
     async def run_bulk_jobs(
-        self, template: JobTemplate, begin: int, end: int, step: int = 1, within: float = 60.0
+        self, template: JobTemplate, begin: int, end: int, step: int = 1, timeout: float = 60.0
     ) -> "AsyncJobArray":
         """One job an index, all taken or none left: those taken before a refusal are ended again."""
         numbers = translate.indices(begin, end, step)
@@ -95,7 +104,7 @@
                 ],
                 template.submit_as_hold,
                 requests[0].start_in,
-                within,
+                timeout,
             )
         return AsyncJobArray(self, array, tuple(AsyncJob(self, key) for key in keys))
 
@@ -111,7 +120,7 @@
         return [
             AsyncJob(self, key)
             for key in self.owner.keys()
-            if wanted is None or STATES[self.owner.standing(key).stage] in wanted
+            if wanted is None or STATES[self.owner.status(key).stage] in wanted
         ]
 
     async def job(self, job_id: str) -> "AsyncJob":
@@ -138,7 +147,7 @@
         found = await self.wait([job.job_id for job in jobs], terminated, timeout, every=True)
         return [info_of(standing) for standing in found]
 
-    async def wait(self, keys: Sequence[str], test, timeout: float, every: bool = False) -> list[Standing]:
+    async def wait(self, keys: Sequence[str], test, timeout: float, every: bool = False) -> list[JobStatus]:
         """Raises Timeout after so many seconds (0: only looks), InvalidArgument for a job that is not there."""
         if not keys:
             raise errors.InvalidArgument("no jobs to wait for", V1.INVALID_JOB)
@@ -147,11 +156,11 @@
                 await self.owner.find(key)
             with anyio.move_on_after(max(timeout, 0.0) if timeout != FOREVER else None):
                 if timeout <= 0:
-                    held = [standing for standing in map(self.owner.standing, keys) if test(standing)]
+                    held = [standing for standing in map(self.owner.status, keys) if test(standing)]
                     if len(held) == len(keys) or held and not every:
                         return held
                 else:
-                    return await self.owner.until(keys, test, every)
+                    return await self.owner.wait_until(keys, test, every)
         raise errors.Timeout(f"not within {timeout:g} s")
 
 
@@ -183,7 +192,7 @@
             try:
                 await self.session.owner.find(self.job_id)
                 await self.session.owner.order(self.job_id, kind)
-            except OrderRefused as error:
+            except OrderRefusedError as error:
                 raise errors.InvalidState(f"{self.job_id}: {error}", REFUSALS[kind]) from None
 
     async def state(self) -> tuple[JobState, str]:
@@ -194,7 +203,7 @@
     async def info(self) -> JobInfo:
         return info_of(await self.standing())
 
-    async def standing(self) -> Standing:
+    async def standing(self) -> JobStatus:
         with known_jobs():
             return await self.session.owner.find(self.job_id)
 
@@ -246,11 +255,11 @@
         return await self.session.wait_all_terminated(self.jobs, timeout)
 
 
-def started(standing: Standing) -> bool:
+def started(standing: JobStatus) -> bool:
     return standing.stage == "running" or standing.over
 
 
-def terminated(standing: Standing) -> bool:
+def terminated(standing: JobStatus) -> bool:
     return standing.over
 
 
@@ -259,7 +268,7 @@
     """Turns what a submission can meet into the standard's errors."""
     try:
         yield
-    except TurnedAway as error:
+    except JobDeclinedError as error:
         raise (errors.TryLater if error.retry_after else errors.DeniedByDrms)(str(error)) from None
     except TimeoutError:
         raise errors.DrmCommunication("no controller said whether the job was taken") from None
@@ -270,5 +279,5 @@
     """A job that no controller knows is an invalid argument."""
     try:
         yield
-    except NoSuchJob as error:
+    except NoSuchJobError as error:
         raise errors.InvalidArgument(f"no job {error.args[0]!r} in this session", V1.INVALID_JOB) from None
--- a/linedeal/drmaa/translate.py
+++ b/linedeal/drmaa/translate.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from pathlib import PurePosixPath
 
-from linedeal.client.client import JobAsk
+from linedeal.client.client import JobRequest
 from linedeal.drmaa.errors import V1, InvalidArgument, UnsupportedAttribute
 from linedeal.drmaa.model import JobTemplate
 from linedeal.protocol import pb
@@ -33,7 +33,7 @@
 class Request:
     """One job of a template, ready to be asked for. `start_in` in seconds."""
 
-    ask: JobAsk
+    ask: JobRequest
     work: pb.Work
     hold: bool
     start_in: float
@@ -108,7 +108,7 @@
         left = template.deadline_time - now - start_in
         wait = min(wait, left) if wait else left
     service = native.get("service") or PurePosixPath(template.remote_command).name
-    ask = JobAsk(
+    ask = JobRequest(
         template.job_category,
         native.get("customer", template.accounting_id),
         service,
--- a/linedeal/drmaa/v1.py
+++ b/linedeal/drmaa/v1.py
@@ -185,7 +185,7 @@
         if action not in calls:
             raise errors.InvalidArgument(f"no action {action}")
         if job_id == ALL:
-            for key in [key for key in self.owner.keys() if not self.owner.standing(key).over]:
+            for key in [key for key in self.owner.keys() if not self.owner.status(key).over]:
                 await calls[action](AsyncJob(self.session, key))
         else:
             await calls[action](await self.one(job_id))
--- a/linedeal/lab/load.py
+++ b/linedeal/lab/load.py
@@ -6,7 +6,7 @@
 import anyio
 from hdrh.histogram import HdrHistogram
 
-from linedeal.client import Client, ClientLost, JobAsk, TurnedAway
+from linedeal.client import Client, ConnectionLostError, JobRequest, JobDeclinedError
 from linedeal.client.contact import Contact
 from linedeal.client.owner import Owner
 from linedeal.interface import Effect
@@ -73,9 +73,9 @@
             try:
                 async with Client.connect(self.net, self.addresses[name], "owners", 2.0) as client:
                     self.links[name] = client
-                    while not client.lost:
+                    while not client.disconnect_reason:
                         await anyio.sleep(0.05)
-            except ClientLost:
+            except ConnectionLostError:
                 pass  # it is down; owners go to others meanwhile
             finally:
                 self.links.pop(name, None)
@@ -83,7 +83,7 @@
 
     async def keep_session(self, place: int, *, task_status) -> None:
         contact = Contact(tuple(self.addresses.values()), f"owners-{place}")
-        async with Owner.open(self.net, contact, within=10.0, first=place) as owner:
+        async with Owner.open(self.net, contact, timeout=10.0, first_controller=place) as owner:
             self.owners.append(owner)
             task_status.started()
             await anyio.sleep_forever()
@@ -99,7 +99,7 @@
             service = random.randrange(stream.services)
             if stream.offering in self.hot and random.random() < self.hot[stream.offering]:
                 service = 0  # drawn only then: other days stay as they were
-            ask = JobAsk(
+            ask = JobRequest(
                 stream.offering,
                 random.choice(stream.customers),
                 f"{stream.offering}-{service}",
@@ -114,26 +114,26 @@
                 at,
             )
 
-    async def see_through(self, own, ask: JobAsk, random: Random, due: float) -> None:
+    async def see_through(self, own, ask: JobRequest, random: Random, due: float) -> None:
         """`due`: when the job was to be asked, so that an owner who comes late counts its own delay too."""
         await own(ask, random)
         self.tally.took(ask.offering, anyio.current_time() - due)
 
-    async def own_in_session(self, ask: JobAsk, random: Random) -> None:
+    async def own_in_session(self, ask: JobRequest, random: Random) -> None:
         """One job whose owner waits for its answer whatever becomes of links and controllers, then lets it run."""
         self.tally.asked[ask.offering] = self.tally.asked.get(ask.offering, 0) + 1
         owner, expiry = random.choice(self.owners), self.day.cluster.settings.offerings[ask.offering].expiry
         end = "no answer"
         try:
             with anyio.move_on_after(expiry + 3 * PATIENCE):
-                key = await owner.submit(ask, within=expiry)
-                (standing,) = await owner.until([key], lambda standing: standing.answered)
+                key = await owner.submit(ask, timeout=expiry)
+                (standing,) = await owner.wait_until([key], lambda standing: standing.answered)
                 end = (
                     standing.stage
                     if standing.stage in ("rejected", "written off", "refused", "unknown")
                     else "placed"
                 )
-        except TurnedAway:
+        except JobDeclinedError:
             end = "turned away"
         except TimeoutError:
             end = "no controller"
@@ -145,7 +145,7 @@
                 return name
         return random.choice(names)
 
-    async def own(self, ask: JobAsk, random: Random) -> None:
+    async def own(self, ask: JobRequest, random: Random) -> None:
         """One job, from its first ask to where its owner leaves it."""
         self.tally.asked[ask.offering] = self.tally.asked.get(ask.offering, 0) + 1
         offering = self.day.cluster.settings.offerings[ask.offering]
@@ -163,13 +163,13 @@
                     expiry + PATIENCE
                 ):  # a controller that owes it for ever is not waited for
                     end = (await client.submit(ask)).verdict
-            except TurnedAway as error:
+            except JobDeclinedError as error:
                 end = "turned away"
                 await anyio.sleep(max(error.retry_after, random.uniform(*AGAIN)))
                 continue
-            except ClientLost as error:
+            except ConnectionLostError as error:
                 end = "lost with its controller"
-                if error.taken and effect is not Effect.REDOABLE:
+                if error.may_have_run and effect is not Effect.REDOABLE:
                     break  # it may have run
                 continue
             if end != "rejected" or anyio.current_time() > self.ends:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -13,9 +13,9 @@
 import pytest
 
 from linedeal import audit
-from linedeal.client import Client, JobAsk
+from linedeal.client import Client, JobRequest
 from linedeal.client.contact import Contact
-from linedeal.client.owner import RELEASE, OrderRefused, Owner
+from linedeal.client.owner import RELEASE, OrderRefusedError, Owner
 from linedeal.lab import play
 from linedeal.lab.day import parse_day
 from linedeal.lab.inprocess import Stallable
@@ -29,7 +29,7 @@
 CLUSTER = CLUSTER.replace("controllers = 2", "controllers = 1").replace(
     "held = 20000", "held = 20000\n  connect = 0.5\n  link_silent = 1.0\n  watch = 0.6\n  hello = 1"
 )
-WEB, MAIL, FEED = (JobAsk(offering, "", "v", 0.5, 0.5) for offering in ("web", "mail", "feed"))
+WEB, MAIL, FEED = (JobRequest(offering, "", "v", 0.5, 0.5) for offering in ("web", "mail", "feed"))
 
 
 class FaultyStream:
@@ -192,7 +192,7 @@
             async with Owner.open(ground.net, Contact((("c1", 1),), f"s{name}{number}")) as owner:
                 with anyio.move_on_after(20.0):
                     key = await owner.submit(request)
-                    standing = await owner.until([key], lambda standing: standing.over, every=True)
+                    standing = await owner.wait_until([key], lambda standing: standing.over, every=True)
                     ends[name, number] = standing
 
         async with anyio.create_task_group() as tasks:
@@ -330,7 +330,7 @@
         async with good as client, anyio.create_task_group() as tasks:
             tasks.start_soon(misbehave)
             for number in range(12):
-                request = JobAsk(("web", "mail", "feed")[number % 3], "good", "good", 0.5, 0.5)
+                request = JobRequest(("web", "mail", "feed")[number % 3], "good", "good", 0.5, 0.5)
                 with anyio.fail_after(8.0):
                     verdicts.append((await client.submit(request)).verdict)
                 await anyio.sleep(0.1)
@@ -568,7 +568,7 @@
     async def work(ground):
         await anyio.sleep(1.0)
         async with Owner.open(ground.net, Contact((("c1", 1),), "s")) as owner:
-            requests = [JobAsk("feed", "", "v", 0.01, 0.01) for _ in range(24)]
+            requests = [JobRequest("feed", "", "v", 0.01, 0.01) for _ in range(24)]
             keys = [
                 await owner.submit(
                     request, work=pb.Work(command="x", input=random.Random(i).randbytes(30_000).hex())
@@ -579,7 +579,7 @@
             await ground.kill("c1")
             await ground.start("c1")
             with anyio.fail_after(20):
-                found = await owner.until(keys, lambda standing: standing.over, every=True)
+                found = await owner.wait_until(keys, lambda standing: standing.over, every=True)
         return found, find_breaches(ground, day)
 
     found, breaches = play.in_memory(day, work)
@@ -657,11 +657,11 @@
             for name in requests:
                 try:
                     await owner.order(keys[name, "held"], RELEASE)
-                except OrderRefused:
+                except OrderRefusedError:
                     pass  # its hold has ended
             with anyio.move_on_after(30.0):
-                await owner.until(keys.values(), lambda standing: standing.over, every=True)
-            stages = {job: owner.standing(key).stage for job, key in keys.items()}
+                await owner.wait_until(keys.values(), lambda standing: standing.over, every=True)
+            stages = {job: owner.status(key).stage for job, key in keys.items()}
         engine = ground.servers["c1"].engine
         return stages, dict(engine.unanswered), find_breaches(ground, day)
 
--- a/tests/test_drmaa.py
+++ b/tests/test_drmaa.py
@@ -14,7 +14,7 @@
 import anyio
 import pytest
 
-from linedeal.client.client import JobAsk
+from linedeal.client.client import JobRequest
 from linedeal.client.contact import parse_contact
 from linedeal.client.owner import END, Owner
 from linedeal.drmaa import (
@@ -228,7 +228,9 @@
             return await super().connect(address)
 
     async with Owner.open(TcpNet(), contact) as owner:
-        key = await owner.submit(JobAsk("course-reader", contact.customer, "reading", 0.5, 0.5), hold=True)
+        key = await owner.submit(
+            JobRequest("course-reader", contact.customer, "reading", 0.5, 0.5), hold=True
+        )
         home = owner.courses[key].home.address
     net = HeldBack(home)
     owners = []
@@ -446,10 +448,10 @@
     (tmp_path / "cc").write_text("#!/bin/sh\necho no, not today >&2\nexit 1\n")
     (tmp_path / "cc").chmod(0o755)
     monkeypatch.setenv("CC", str(tmp_path / "cc"))
-    with pytest.raises(build.BuildFault, match="no, not today"):
+    with pytest.raises(build.BuildError, match="no, not today"):
         build.library(tmp_path / "lib")
     (tmp_path / "file").write_text("")
-    with pytest.raises(build.BuildFault, match="file"):
+    with pytest.raises(build.BuildError, match="file"):
         build.library(tmp_path / "file" / "lib")
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 
-from linedeal.client.client import Client, JobAsk
+from linedeal.client.client import Client, JobRequest
 from linedeal.council.records import Change, Outcome
 from linedeal.duties import census, duty
 from linedeal.duties.duty import DutyError
@@ -130,7 +130,7 @@
 
 async def placed(fleet: Fleet, at: str) -> bool:
     async with Client.connect(TcpNet(), fleet.ground.controllers[at], "owner") as client:
-        return (await client.submit(JobAsk("web", "", "s1", 1.0, 1.0))).verdict == "placed"
+        return (await client.submit(JobRequest("web", "", "s1", 1.0, 1.0))).verdict == "placed"
 
 
 def test_a_member_that_had_to_ask_itself_asks_others_again(tmp_path):
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,7 +9,7 @@
 import structlog
 
 from linedeal import interface as api
-from linedeal.client import Client, ClientLost, JobAsk, Owner, TurnedAway
+from linedeal.client import Client, ConnectionLostError, JobDeclinedError, JobRequest, Owner
 from linedeal.client.contact import Contact
 from linedeal.controller.hostlink import HostLink
 from linedeal.controller.runtime import HaltedError, Runtime, Setup
@@ -159,8 +159,8 @@
     return encode(pb.Welcome(version=1, name=name, boot=boot, age=99, held=held))
 
 
-ASK = JobAsk("web", "", "s", 1.0, 1.0)
-FEED = JobAsk("feed", "", "s", 1.0, 1.0, wait=2.0)
+ASK = JobRequest("web", "", "s", 1.0, 1.0)
+FEED = JobRequest("feed", "", "s", 1.0, 1.0, wait=2.0)
 
 
 async def test_invalid_data_from_a_client_ends_only_its_link(cluster):
@@ -198,7 +198,7 @@
 
         for _ in range(6):
             await tasks.start(stay_connected)
-        with pytest.raises(ClientLost, match="too many clients"):
+        with pytest.raises(ConnectionLostError, match="too many clients"):
             async with cluster.client():
                 pass
         tasks.cancel_scope.cancel()
@@ -389,7 +389,7 @@
             tasks.start_soon(submit)
             await cluster.until(lambda: cluster.runtime.engine.unanswered)
             cluster.runtime.shut_down()
-            with pytest.raises(ClientLost, match="ends"):
+            with pytest.raises(ConnectionLostError, match="ends"):
                 async with cluster.client():
                     pass
         assert answers[0].verdict == "placed"
@@ -406,7 +406,7 @@
         for _ in range(5):
             tasks.start_soon(client.submit, ASK)
         await cluster.until(lambda: len(cluster.runtime.engine.unanswered) == 5)
-        with pytest.raises(TurnedAway) as caught:
+        with pytest.raises(JobDeclinedError) as caught:
             await client.submit(ASK)
         assert caught.value.retry_after > 0
         tasks.cancel_scope.cancel()
@@ -463,7 +463,7 @@
     await cluster.start_controller()
     async with cluster.client() as client:
         await cluster.until(lambda: cluster.logged("link down"))
-        assert (await client.submit(JobAsk("feed", "", "s", 1.0, 1.0, wait=1.0))).verdict == "rejected"
+        assert (await client.submit(JobRequest("feed", "", "s", 1.0, 1.0, wait=1.0))).verdict == "rejected"
     assert "host 'another' answers there" in cluster.logged("link down")[0]["reason"]
 
 
@@ -485,13 +485,13 @@
     # an irreversible job must not be submitted again, and run twice, because its controller was killed
     server = await cluster.start_host("a", look=0.3)
     await cluster.start_controller()
-    first, ask = cluster.runtime, JobAsk("feed", "", "s", 1.0, 1.0)
+    first, ask = cluster.runtime, JobRequest("feed", "", "s", 1.0, 1.0)
     answers = []
 
     async def owner(key):
         async with Owner.open(cluster.net, Contact((cluster.address,), "school")) as owner:
             await owner.submit(ask, key)
-            answers.extend(await owner.until([key], lambda standing: standing.answered))
+            answers.extend(await owner.wait_until([key], lambda standing: standing.answered))
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(owner, "reader-1")
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -7,10 +7,18 @@
 import pytest
 
 from linedeal import interface as api
-from linedeal.client import Client, JobAsk, TurnedAway
-from linedeal.client.contact import Contact, ContactFault, parse_contact, token_of
-from linedeal.client.course import Next, State, View, home_away, home_back
-from linedeal.client.owner import END, HOLD, RELEASE, NoSuchJob, OrderRefused, Owner, OwnerFault
+from linedeal.client import Client, JobRequest, JobDeclinedError
+from linedeal.client.contact import Contact, ContactError, parse_contact, token_of
+from linedeal.client.retry_rules import Next, State, View, home_away, home_back
+from linedeal.client.owner import (
+    END,
+    HOLD,
+    RELEASE,
+    NoSuchJobError,
+    OrderRefusedError,
+    Owner,
+    SessionOpenError,
+)
 from linedeal.controller import owners
 from linedeal.engine import effects
 from linedeal.engine import events
@@ -383,7 +391,7 @@
 
 @pytest.mark.parametrize("text", ["", "/s", "host", "h:1/a b", "h:1/s?user=x", "h:1/" + "x" * 121, "h:x/s"])
 def test_faulty_contacts_are_named(text):
-    with pytest.raises(ContactFault):
+    with pytest.raises(ContactError):
         parse_contact(text)
 
 
@@ -392,7 +400,7 @@
     monkeypatch.setenv("LINEDEAL_TOKEN_FILE", str(tmp_path / "key"))
     assert token_of("school") == "secret" and token_of("") == ""
     monkeypatch.setenv("LINEDEAL_TOKEN_FILE", str(tmp_path / "none"))
-    with pytest.raises(ContactFault, match="no key can be read"):
+    with pytest.raises(ContactError, match="no key can be read"):
         token_of("school")
 
 
@@ -400,7 +408,7 @@
 
 C1 = Contact((("c1", 1),), "s")
 BOTH = Contact((("c1", 1), ("c2", 1)), "s")
-WEB, MAIL, FEED = (JobAsk(offering, "", "v", 1.0, 1.0) for offering in ("web", "mail", "feed"))
+WEB, MAIL, FEED = (JobRequest(offering, "", "v", 1.0, 1.0) for offering in ("web", "mail", "feed"))
 
 
 def test_jobs_of_all_effects_are_followed_over_a_kill(tmp_path):
@@ -410,7 +418,7 @@
             await ground.kill("c1")
             await anyio.sleep(0.5)
             await ground.start("c1")
-            found = await owner.until(keys, lambda standing: standing.over, every=True)
+            found = await owner.wait_until(keys, lambda standing: standing.over, every=True)
             assert owner.keys() == keys
             for key in keys:
                 await owner.forget(key)
@@ -426,18 +434,18 @@
         async with Owner.open(ground.net, C1) as owner:
             held = await owner.submit(FEED, hold=True, work=pb.Work(name="feed 7", command="feed"))
             ended = await owner.submit(WEB)
-            await owner.until_over(ended)
+            await owner.wait_until_over(ended)
         await ground.kill("c1")
         await ground.start("c1")
         async with Owner.open(ground.net, C1) as owner:
-            standing = owner.standing(held)
+            standing = owner.status(held)
             assert (standing.stage, standing.name, standing.offering) == ("held", "feed 7", "feed")
-            assert owner.standing(ended).stage == "done" and owner.standing(ended).ran.status == 0
+            assert owner.status(ended).stage == "done" and owner.status(ended).ran.status == 0
             await owner.order(held, RELEASE)
-            assert (await owner.until_over(held)).stage == "done"
-            with pytest.raises(NoSuchJob):
+            assert (await owner.wait_until_over(held)).stage == "done"
+            with pytest.raises(NoSuchJobError):
                 await owner.find("nothing", 0.1)
-            with pytest.raises(OrderRefused):
+            with pytest.raises(OrderRefusedError):
                 await owner.order(held, HOLD)
 
     run_in_memory(tmp_path, work)
@@ -446,12 +454,12 @@
 def test_an_error_in_the_block_comes_out_as_it_is(tmp_path):
     # guards against errors that a caller cannot catch by name, since the links' task group has wrapped them
     async def work(ground):
-        with pytest.raises(NoSuchJob):
+        with pytest.raises(NoSuchJobError):
             async with Owner.open(ground.net, C1) as owner:
-                owner.standing("nothing")
-        with pytest.raises(TurnedAway):
+                owner.status("nothing")
+        with pytest.raises(JobDeclinedError):
             async with Client.connect(ground.net, ("c1", 1), "t") as client:
-                await client.submit(JobAsk("nothing", "", "v", 1.0, 1.0))
+                await client.submit(JobRequest("nothing", "", "v", 1.0, 1.0))
 
     run_in_memory(tmp_path, work)
 
@@ -460,8 +468,8 @@
     async def work(ground):
         async with Owner.open(ground.net, C1) as one, Owner.open(ground.net, C1) as other:
             assert await one.submit(FEED, "k") == await other.submit(FEED, "k") == "k"
-            assert (await one.until_over("k")).job == (await other.until_over("k")).job
-            with pytest.raises(TurnedAway, match="names another job"):
+            assert (await one.wait_until_over("k")).job == (await other.wait_until_over("k")).job
+            with pytest.raises(JobDeclinedError, match="names another job"):
                 await other.submit(WEB, "k")
         assert (
             sum(
@@ -485,12 +493,12 @@
             await anyio.sleep(4.0)
             assert owner.courses[web].home.address[0] != home and owner.courses[feed].home.address[0] == home
             await owner.order(web, RELEASE)
-            assert (await owner.until_over(web)).stage == "done"
-            assert owner.standing(feed).stage == "held"
+            assert (await owner.wait_until_over(web)).stage == "done"
+            assert owner.status(feed).stage == "held"
             await ground.start(home)
             await anyio.sleep(1.0)
             await owner.order(feed, RELEASE)
-            assert (await owner.until_over(feed)).stage == "done"
+            assert (await owner.wait_until_over(feed)).stage == "done"
             # back at its first home the redoable job is ended and forgotten: it runs once
             await anyio.sleep(3.0)
         engine = ground.servers[home].engine
@@ -503,15 +511,14 @@
     async def work(ground):
         async with Owner.open(ground.net, C1) as owner:
             key = await owner.submit(FEED)
-            await owner.until([key], lambda standing: standing.stage == "running")
+            await owner.wait_until([key], lambda standing: standing.stage == "running")
             await owner.order(key, END)
-            ended = await owner.until_over(key)
+            ended = await owner.wait_until_over(key)
             assert ended.stage == "stopped" and ended.ran.status is None and ended.ending
             late = await owner.submit(WEB, start_in=60.0)
             await owner.order(late, END)
             assert (
-                owner.standing(late).stage == "rejected"
-                and owner.standing(late).reason == "ended by its owner"
+                owner.status(late).stage == "rejected" and owner.status(late).reason == "ended by its owner"
             )
 
     run_in_memory(tmp_path, work, habits="setup=0.1 life=50")
@@ -529,7 +536,7 @@
                 await anyio.sleep(0.5)
                 await ground.start("c1")
             with anyio.fail_after(20):
-                assert (await owner.until_over(key)).stage == "done"
+                assert (await owner.wait_until_over(key)).stage == "done"
 
     run_in_memory(tmp_path, work)
 
@@ -544,7 +551,7 @@
             await anyio.sleep(0.3)
             await ground.kill("c1")
             await ground.start("c1")
-            found = await owner.until(keys, lambda standing: standing.answered, every=True)
+            found = await owner.wait_until(keys, lambda standing: standing.answered, every=True)
             for name in ("h01", "h02", "h03"):
                 await ground.order(name, {"mute": False})
         copies = [
@@ -568,8 +575,8 @@
                 for number in range(400):
                     ask = (WEB, MAIL, FEED)[number % 3]
                     try:
-                        asked[await owner.submit(ask, f"k{number}", within=60.0)] = ask.offering
-                    except TurnedAway:
+                        asked[await owner.submit(ask, f"k{number}", timeout=60.0)] = ask.offering
+                    except JobDeclinedError:
                         pass
                     await anyio.sleep(0.01)
 
@@ -580,7 +587,7 @@
                     await ground.kill("c1")
                     await anyio.sleep(random.uniform(0.0, 0.3))
                     await ground.start("c1")
-            found = await owner.until(list(asked), lambda standing: standing.over, every=True)
+            found = await owner.wait_until(list(asked), lambda standing: standing.over, every=True)
             runs = {}
             for name, host in ground.servers.items():
                 if name.startswith("h"):
@@ -602,11 +609,11 @@
             keys = await owner.submit_many(
                 [(WEB, f"b.{index}", pb.Work(index=index)) for index in range(10_000)], hold=True
             )
-            assert len(owner.keys()) == 10_000 and owner.standing(keys[-1]).stage == "held"
+            assert len(owner.keys()) == 10_000 and owner.status(keys[-1]).stage == "held"
         async with Owner.open(ground.net, C1) as again:
             assert sorted(again.keys()) == sorted(keys)
             await again.order(keys[0], RELEASE)
-            assert (await again.until_over(keys[0])).stage == "done"
+            assert (await again.wait_until_over(keys[0])).stage == "done"
 
     run_in_memory(tmp_path, work)
 
@@ -614,8 +621,8 @@
 def test_a_bulk_that_is_refused_midway_leaves_nothing_behind(tmp_path):
     async def work(ground):
         async with Owner.open(ground.net, C1) as owner:
-            with pytest.raises(TurnedAway, match="too many jobs"):
-                await owner.submit_many([(WEB, f"b.{i}", None) for i in range(30)], hold=True, within=2.0)
+            with pytest.raises(JobDeclinedError, match="too many jobs"):
+                await owner.submit_many([(WEB, f"b.{i}", None) for i in range(30)], hold=True, timeout=2.0)
             assert not ground.servers["c1"].engine.unanswered
 
     run_in_memory(tmp_path, work, cluster=PAIR.replace("held = 20000", "held = 20"))
@@ -628,7 +635,7 @@
             await ground.kill("c1")
             await anyio.sleep(0.5)
             with pytest.raises(TimeoutError):
-                await owner.submit_many([(FEED, f"b.{i}", None) for i in range(3)], within=1.0)
+                await owner.submit_many([(FEED, f"b.{i}", None) for i in range(3)], timeout=1.0)
 
     run_in_memory(tmp_path, work)
 
@@ -639,13 +646,13 @@
         runtime = ground.servers["c1"]
         async with Owner.open(ground.net, C1) as owner:
             taken, big = [], pb.Work(command="x" * 20000)
-            with pytest.raises(TurnedAway, match="the journal is full"):
+            with pytest.raises(JobDeclinedError, match="the journal is full"):
                 for number in range(200):
-                    taken.append(await owner.submit(FEED, work=big, hold=True, within=0.5))
+                    taken.append(await owner.submit(FEED, work=big, hold=True, timeout=0.5))
             assert 20 < len(taken) < 60 and runtime.journal.full
             for key in taken[:5]:
                 await owner.order(key, RELEASE)
-            found = await owner.until(taken[:5], lambda standing: standing.over, every=True)
+            found = await owner.wait_until(taken[:5], lambda standing: standing.over, every=True)
             assert {standing.stage for standing in found} == {"done"}
             for key in taken[5:]:
                 await owner.order(key, END)
@@ -653,7 +660,7 @@
                 await owner.forget(key)
             await anyio.sleep(3.0)
             assert (
-                await owner.until_over(await owner.submit(FEED, work=big))
+                await owner.wait_until_over(await owner.submit(FEED, work=big))
             ).stage == "done"  # it has room again
 
     run_in_memory(tmp_path, work, cluster=PAIR + "\njournal {\n most = 1100000\n}\n")
@@ -664,14 +671,14 @@
         school, shop = replace(C1, customer="school"), replace(C1, customer="shop")
         async with Owner.open(ground.net, school, "one") as mine:
             key = await mine.submit(replace(FEED, customer="school"), hold=True)
-            with pytest.raises(TurnedAway, match="submits for customer 'school' only"):
+            with pytest.raises(JobDeclinedError, match="submits for customer 'school' only"):
                 await mine.submit(replace(FEED, customer="shop"))
             async with Owner.open(ground.net, shop, "two") as other:  # the same session name, another owner
-                with pytest.raises(NoSuchJob):
+                with pytest.raises(NoSuchJobError):
                     await other.find(key, 0.1)
         for contact, token in ((school, "two"), (C1, "")):
-            with pytest.raises(OwnerFault, match="key"):
-                async with Owner.open(ground.net, contact, token, within=1.0):
+            with pytest.raises(SessionOpenError, match="key"):
+                async with Owner.open(ground.net, contact, token, timeout=1.0):
                     pass
 
     cluster = (
