--- a/benchmarks/bad_days.py
+++ b/benchmarks/bad_days.py
@@ -67,7 +67,7 @@
         day = parse_day("\n".join([*lines, f"seed {seed}", *DAYS[trouble]]), "bad.day", path)
         tally, entries = play_in_memory(day, policy=POLICIES[policy])
     traffic = audit.reconstruct_traffic(entries)
-    return job, report.earned(traffic, day, tally.asked), len(audit.find_breaches(traffic, day.cluster))
+    return job, report.earned_share(traffic, day, tally.asked), len(audit.find_breaches(traffic, day.cluster))
 
 
 def main():
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -21,9 +21,9 @@
 from linedeal.audit.duties import campaign_outcomes, find_duty_breaches
 from linedeal.client.client import Client, JobRequest
 from linedeal.lab.day import Day, parse_day
-from linedeal.lab.load import Owners, Tally
-from linedeal.lab.processes import Processes
-from linedeal.lab.procfs import memory_of, processor_of
+from linedeal.lab.load import LoadGenerator, Tally
+from linedeal.lab.processes import ProcessCluster
+from linedeal.lab.procfs import resident_memory_mb, processor_seconds
 from linedeal.lab.record import read_record
 from linedeal.net import TcpNet
 from linedeal.protocol import pb
@@ -124,11 +124,11 @@
             patience=1e9,
         )
         faults: list[tuple[str, int]] = []
-        async with Processes(day, Path(place) / "day") as ground:
+        async with ProcessCluster(day, Path(place) / "day") as ground:
             operator = ground.operator
 
             async def standing():
-                found = await operator.standing()
+                found = await operator.campaign_status()
                 return found if found.duty.owner else None
 
             await until(standing, 60)
@@ -139,7 +139,7 @@
                 async with Client.connect(TcpNet(), ground.controllers[controller], "owner") as client:
                     for _ in range(8):
                         await client.submit(JobRequest("feed", "", "s", 1.0, 1.0))
-            await operator.begin("bench", tuple(f"h{n:02}" for n in range(1, 5)), {})
+            await operator.start_campaign("bench", tuple(f"h{n:02}" for n in range(1, 5)), {})
             await until(lambda: out_of(operator), 30)
             begun = time.monotonic()
             async with anyio.create_task_group() as later:
@@ -150,7 +150,7 @@
                     faults.append((fault, duty.token))
 
                     async def passed_on():
-                        found = await operator.standing()
+                        found = await operator.campaign_status()
                         return found.duty.owner and found.duty.token > duty.token
 
                     await until(passed_on, 60)
@@ -192,10 +192,10 @@
 
 
 async def out_of(operator):
-    return len((await operator.standing()).progress.out) == 4
+    return len((await operator.campaign_status()).progress.out) == 4
 
 
-async def trouble(ground: Processes, owner: str, fault: str) -> None:
+async def trouble(ground: ProcessCluster, owner: str, fault: str) -> None:
     """One of three, for twice the lease."""
     await ground.mark("fault", owner)
     seats = [name.partition("/")[0] for name in ground.routes if name.endswith("/council")]
@@ -203,14 +203,14 @@
     if fault == "kill":
         await ground.kill(owner)
     elif fault == "stop":
-        await ground.stand(owner, True)
+        await ground.set_paused(owner, True)
     else:
         await ground.cut(pairs, True)
     await anyio.sleep(2 * LEASE)
     if fault == "kill":
         await ground.start(owner)
     elif fault == "stop":
-        await ground.stand(owner, False)
+        await ground.set_paused(owner, False)
     else:
         await ground.cut(pairs, False)
 
@@ -224,18 +224,26 @@
         for members in (0, 5):
             with tempfile.TemporaryDirectory() as place:
                 day = day_of(Path(place), controllers, 4, members, lease=6.0)
-                async with Processes(day, Path(place) / "day") as ground:
+                async with ProcessCluster(day, Path(place) / "day") as ground:
                     names = list(ground.controllers)
                     await anyio.sleep(15.0)
                     record = Path(place) / "day" / "traffic.jsonl"
                     await ground.order("tap", {"flush": True})
                     await anyio.sleep(0.3)
-                    before, at, size = processor_of(ground, names), time.monotonic(), record.stat().st_size
+                    before, at, size = (
+                        processor_seconds(ground, names),
+                        time.monotonic(),
+                        record.stat().st_size,
+                    )
                     await anyio.sleep(20.0)
-                    seconds, used = time.monotonic() - at, processor_of(ground, names) - before
+                    seconds, used = time.monotonic() - at, processor_seconds(ground, names) - before
                     await ground.order("tap", {"flush": True})
                     await anyio.sleep(0.3)
-                    found[members] = used / seconds, memory_of(ground, names[-1]), memory_of(ground, names[0])
+                    found[members] = (
+                        used / seconds,
+                        resident_memory_mb(ground, names[-1]),
+                        resident_memory_mb(ground, names[0]),
+                    )
                     if members:
                         frames = council_frames(record, size)
                         print(
@@ -255,7 +263,7 @@
     import base64
 
     from linedeal.lab.record import Entry
-    from linedeal.lab.tap import Frames
+    from linedeal.lab.tap import FrameSplitter
     import msgspec
 
     decoder, links, frames, count = msgspec.json.Decoder(Entry), set(), {}, 0
@@ -267,7 +275,9 @@
             if entry.e == "open" and entry.to.endswith("/council"):
                 links.add(entry.link)
             elif entry.e == "data" and entry.link in links:
-                cut = frames.setdefault((entry.link, entry.d), Frames()).feed(base64.b64decode(entry.b))
+                cut = frames.setdefault((entry.link, entry.d), FrameSplitter()).feed(
+                    base64.b64decode(entry.b)
+                )
                 count += len(cut) if position > since else 0
     return count
 
@@ -287,7 +297,7 @@
 
             async def stand(kind, members):
                 day = day_of(Path(place) / kind, 4, 4, members)
-                async with Processes(day, Path(place) / kind / "day") as ground:
+                async with ProcessCluster(day, Path(place) / kind / "day") as ground:
                     grounds[kind] = ground
                     if len(grounds) == len(kinds):
                         ready.set()
@@ -348,21 +358,21 @@
                 f"services=12\nload feed {arguments.hosts / 30} cores=1-2 memory=1-4 services=4"
             )
             day = day_of(Path(place), 4, arguments.hosts, 3, lines, most, patience=5.0)
-            async with Processes(day, Path(place) / "day") as ground:
+            async with ProcessCluster(day, Path(place) / "day") as ground:
                 operator = ground.operator
                 tally = Tally()
-                owners = Owners(day, TcpNet(), ground.controllers, tally)
+                owners = LoadGenerator(day, TcpNet(), ground.controllers, tally)
                 async with anyio.create_task_group() as tasks:
                     tasks.start_soon(owners.run)
                     await anyio.sleep(8.0)
                     asked = sum(tally.asked.values())
                     begun = time.monotonic()
-                    await operator.begin(
+                    await operator.start_campaign(
                         "bench", tuple(f"h{n:02}" for n in range(1, arguments.hosts + 1)), {}
                     )
 
                     async def over():
-                        return (await operator.standing()).progress.ended
+                        return (await operator.campaign_status()).progress.ended
 
                     await until(over, 1200)
                     length = time.monotonic() - begun
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -23,7 +23,7 @@
 from linedeal.client.contact import Contact
 from linedeal.client.owner import Owner
 from linedeal.lab.day import parse_day
-from linedeal.lab.play import in_memory
+from linedeal.lab.play import run_in_memory
 
 CLUSTER = """
 cluster {
@@ -59,7 +59,7 @@
     with tempfile.TemporaryDirectory() as place:
         (Path(place) / "cluster.hcl").write_text(CLUSTER)
         day = parse_day(DAY.format(seed=seed), f"{place}/kills.day", Path(place))
-        return in_memory(day, lambda ground: under_load(ground, Random(seed), jobs, kills))
+        return run_in_memory(day, lambda ground: under_load(ground, Random(seed), jobs, kills))
 
 
 async def under_load(ground, random: Random, jobs: int, kills: int) -> Counter:
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -20,7 +20,7 @@
 from linedeal.controller.runtime import Runtime, Setup
 from linedeal.engine import effects
 from linedeal.interface import Job
-from linedeal.lab.play import QUIET
+from linedeal.lab.play import QUIET_LOG
 from linedeal.net.memory import MemoryNet
 from linedeal.protocol import pb
 from linedeal.settings.cluster import parse_cluster
@@ -107,7 +107,9 @@
             await tasks.start(HostServer(model, net, ("discovery", 1), f"{name}:1", "z", 0).run, (name, 1))
         await anyio.sleep(0.5)
         began = time.perf_counter()
-        runtime = Runtime(Setup("c", cluster, ("c", 1), ("discovery", 1), 7), Store(directory), net, QUIET)
+        runtime = Runtime(
+            Setup("c", cluster, ("c", 1), ("discovery", 1), 7), Store(directory), net, QUIET_LOG
+        )
         await tasks.start(runtime.run)
         result["read and taking jobs"] = time.perf_counter() - began
         engine, worst = runtime.engine, 0.0
--- a/linedeal/cli.py
+++ b/linedeal/cli.py
@@ -73,16 +73,16 @@
         return error.status
     # only now: most commands need none of these packages, and loading all takes longer than the command
     from linedeal.controller.runtime import HaltedError
-    from linedeal.lab.day import DayFault
-    from linedeal.lab.processes import ProcessFault
-    from linedeal.lab.record import BadRecord
+    from linedeal.lab.day import DayFileError
+    from linedeal.lab.processes import ClusterProcessError
+    from linedeal.lab.record import RecordError
     from linedeal.settings.cluster import ConfigError
     from linedeal.standin.orders import FenceFileError
     from linedeal.state import StoreError
 
     statuses = (
-        ((ConfigError, DayFault, BadRecord), 1),
-        ((StoreError, ProcessFault, FenceFileError, OSError), 3),
+        ((ConfigError, DayFileError, RecordError), 1),
+        ((StoreError, ClusterProcessError, FenceFileError, OSError), 3),
         (HaltedError, 4),
     )
     return next((status for kinds, status in statuses if isinstance(error, kinds)), None)
@@ -110,10 +110,10 @@
 def run(work, *args, backend: str = "asyncio", fast: bool = True, clock: float = 1.0):
     """`clock`: seconds of this process's clock in a true second; other than 1 in days alone."""
     if clock != 1.0:
-        from linedeal.lab.clocks import RatedLoop
+        from linedeal.lab.clocks import SkewedEventLoop
 
         return anyio.run(
-            work, *args, backend="asyncio", backend_options={"loop_factory": lambda: RatedLoop(clock)}
+            work, *args, backend="asyncio", backend_options={"loop_factory": lambda: SkewedEventLoop(clock)}
         )
     if backend not in ("asyncio", "trio"):
         raise Fault(f"no backend {backend!r}, asyncio or trio", 2)
@@ -397,13 +397,13 @@
     """Stands between the others and records what passes; takes routes and cuts as orders on standard input."""
     from linedeal import logs
     from linedeal.lab.record import Recorder
-    from linedeal.lab.tap import TapServer
+    from linedeal.lab.tap import TapProcess
     from linedeal.net import TcpNet
 
     log = logs.setup(False, False)
 
     async def work():
-        server = TapServer(TcpNet(), Recorder(record))
+        server = TapProcess(TcpNet(), Recorder(record))
         async with anyio.create_task_group() as tasks:
 
             async def route(name, to):
@@ -459,7 +459,7 @@
         audit.find_breaches(traffic, plan.cluster),
         find_duty_breaches(traffic, plan.cluster),
     )
-    value = report.earned(traffic, plan, tally.asked)
+    value = report.earned_share(traffic, plan, tally.asked)
     if as_json:
         print(
             json.dumps(
@@ -474,7 +474,7 @@
     else:
         print(
             "",
-            *report.lines(traffic, breaches, of_duties),
+            *report.report_lines(traffic, breaches, of_duties),
             "",
             f"value earned of value asked: {value:.3f} (simulated hosts)",
             sep="\n",
@@ -565,7 +565,7 @@
     if as_json:
         print(json.dumps({"jobs": len(traffic.jobs), "breaches": shown(breaches, of_duties)}))
     else:
-        print(*report.lines(traffic, breaches, of_duties), sep="\n")
+        print(*report.report_lines(traffic, breaches, of_duties), sep="\n")
     raise typer.Exit(1 if breaches or of_duties else 0)
 
 
--- a/linedeal/lab/clocks.py
+++ b/linedeal/lab/clocks.py
@@ -5,7 +5,7 @@
 import selectors
 
 
-class RatedSelector(selectors.DefaultSelector):
+class SkewedSelector(selectors.DefaultSelector):
     """Waits as long as the loop's own clock says, in true seconds."""
 
     rate = 1.0
@@ -14,11 +14,11 @@
         return super().select(timeout / self.rate if timeout and timeout > 0 else timeout)
 
 
-class RatedLoop(asyncio.SelectorEventLoop):
+class SkewedEventLoop(asyncio.SelectorEventLoop):
     """`rate`: seconds of its clock in a true second. `jump` sets it forward."""
 
     def __init__(self, rate: float):
-        selector = RatedSelector()
+        selector = SkewedSelector()
         selector.rate = rate
         super().__init__(selector)
         self.rate, self.ahead, self.begun = rate, 0.0, super().time()
--- a/linedeal/lab/day.py
+++ b/linedeal/lab/day.py
@@ -9,7 +9,7 @@
 from linedeal.standin.model import HostBehavior
 
 
-class DayFault(Exception):
+class DayFileError(Exception):
     """`lines`: every fault of the file, each `file: line N: fault`."""
 
     def __init__(self, lines: list[str]):
@@ -102,12 +102,12 @@
 
 
 def read_day(path: str | Path) -> Day:
-    """Raises DayFault or ConfigError with all faults."""
+    """Raises DayFileError or ConfigError with all faults."""
     path = Path(path)
     try:
         text = path.read_text(encoding="utf-8")
     except OSError as error:
-        raise DayFault([f"{path}: cannot be read: {error.strerror}"]) from None
+        raise DayFileError([f"{path}: cannot be read: {error.strerror}"]) from None
     return parse_day(text, str(path), path.parent)
 
 
@@ -148,7 +148,7 @@
         if cluster is not None:
             self.check(cluster)
         if self.faults:
-            raise DayFault(self.faults)
+            raise DayFileError(self.faults)
         return Day(
             Path(self.name).stem,
             str(self.base / self.cluster_path),
--- a/linedeal/lab/director.py
+++ b/linedeal/lab/director.py
@@ -7,14 +7,14 @@
 from linedeal.duties.duty import DutyError
 from linedeal.fleet.operator import CouncilUnavailableError
 from linedeal.lab.day import Day, Order
-from linedeal.lab.load import Owners
-from linedeal.lab.playground import Playground
+from linedeal.lab.load import LoadGenerator
+from linedeal.lab.cluster import LabCluster
 
 DRAIN = 3.0  # seconds that a host of a rolling deploy drains before it is replaced
 
 
 class Director:
-    def __init__(self, day: Day, ground: Playground, owners: Owners, say):
+    def __init__(self, day: Day, ground: LabCluster, owners: LoadGenerator, say):
         self.day, self.ground, self.owners, self.say = day, ground, owners, say
         self.down: set[str] = set()
 
@@ -42,7 +42,7 @@
     async def play_through(self, order: Order, begun: float) -> None:
         owners = [name for name in order.who if name.startswith("owner:")]
         if owners:  # by name, so that the end of it is for who it began with
-            found = tuple([await self.ground.operator.owner(name[6:]) for name in owners])
+            found = tuple([await self.ground.operator.duty_owner(name[6:]) for name in owners])
             self.say(f"        {', '.join(owners)}: {', '.join(found)}")
             order = replace(order, who=tuple(name for name in order.who if name not in owners) + found)
         await getattr(self, order.verb)(order, True)
@@ -68,7 +68,7 @@
     async def stop(self, order: Order, on: bool) -> None:
         for name in order.who:
             if name not in self.down:
-                await self.ground.stand(name, on)
+                await self.ground.set_paused(name, on)
 
     async def each(self, order: Order, command: dict) -> None:
         for name in order.who:
@@ -153,13 +153,13 @@
     async def campaign(self, order, on):
         name, *rest = order.args
         if not order.who:
-            await self.ground.operator.wish(name, rest[0])
+            await self.ground.operator.change_campaign(name, rest[0])
         else:
-            await self.ground.operator.begin(name, order.who, dict(word.split("=") for word in rest))
+            await self.ground.operator.start_campaign(name, order.who, dict(word.split("=") for word in rest))
 
     async def hand(self, order, on):
         """Its owner gives the duty up, to whoever comes."""
-        await self.ground.operator.hand(order.args[0])
+        await self.ground.operator.hand_over(order.args[0])
 
     async def jump(self, order, on):
         await self.each(order, {"jump": float(order.args[0])})
--- a/linedeal/lab/evening.py
+++ b/linedeal/lab/evening.py
@@ -9,9 +9,9 @@
 from linedeal.lab.baselines import OneChooser
 from linedeal.lab.day import Day
 from linedeal.lab.evenness import Arrival, HostAt
-from linedeal.lab.inprocess import InProcess
+from linedeal.lab.inprocess import InProcessCluster
 from linedeal.lab.load import Tally
-from linedeal.lab.play import in_memory, play
+from linedeal.lab.play import run_in_memory, play
 from linedeal.lab.record import Entry
 from linedeal.policy import Controller
 from linedeal.standin.host_pool import SAMPLE_INTERVAL, SampledHostModel, load_shares
@@ -36,7 +36,7 @@
     def noted(host, launch, service, refused):
         came.setdefault((host, launch), [anyio.current_time(), service, False])[2] |= refused
 
-    async def work(ground: InProcess) -> Watched:
+    async def work(ground: InProcessCluster) -> Watched:
         if issubclass(policy, OneChooser):
             policy.models = staticmethod(
                 lambda: {name: ground.servers[name].model for name in ground.host_specs}
@@ -66,4 +66,4 @@
             samples, sorted(arrivals, key=lambda arrival: arrival.t), tally, ground.recorder.entries
         )
 
-    return in_memory(day, work, policy, model=lambda *rest: SampledHostModel(noted, *rest))
+    return run_in_memory(day, work, policy, model=lambda *rest: SampledHostModel(noted, *rest))
--- a/linedeal/lab/evenrun.py
+++ b/linedeal/lab/evenrun.py
@@ -36,7 +36,7 @@
         found.samples,
         found.arrivals,
         found.tally,
-        value=report.earned(traffic, day, found.tally.asked),
+        value=report.earned_share(traffic, day, found.tally.asked),
         breaches=tuple(audit.find_breaches(traffic, day.cluster)),
     )
 
--- a/linedeal/lab/inprocess.py
+++ b/linedeal/lab/inprocess.py
@@ -22,7 +22,7 @@
 from linedeal.state import Store
 
 
-class Stallable(Runtime):
+class PausableRuntime(Runtime):
     """Stands still between two turns when told to; no threads, and no time but the day's."""
 
     still: anyio.Event | None = None
@@ -39,10 +39,12 @@
             await self.still.wait()
 
 
-class InProcess:
+class InProcessCluster:
     """Use as an async context manager."""
 
-    def __init__(self, day: Day, directory: Path, log, policy=Controller, runtime=Stallable, model=HostModel):
+    def __init__(
+        self, day: Day, directory: Path, log, policy=Controller, runtime=PausableRuntime, model=HostModel
+    ):
         self.day, self.directory, self.log, self.policy, self.runtime = day, directory, log, policy, runtime
         self.model = model
         self.recorder, self.weather = Recorder(), Weather()
@@ -80,7 +82,7 @@
 
         await self.tasks.start(scoped)
 
-    async def start_host(self, spec: HostSpec, young: bool) -> None:
+    async def start_host(self, spec: HostSpec, slow_start: bool) -> None:
         self.host_specs[spec.name] = spec
         boot = self.boots[spec.name] = self.boots.get(spec.name, 0) + 1
         model = self.model(
@@ -91,7 +93,7 @@
             boot,
             Random(f"{self.day.seed} {spec.name} {boot}"),
             anyio.current_time(),
-            young,
+            slow_start,
         )
         server = self.servers[spec.name] = HostServer(
             model, self.memory, ("discovery", 1), f"{spec.name}:1", spec.zone, spec.cell
@@ -127,13 +129,13 @@
         self.scopes[name].cancel()
         await anyio.sleep(0.01)
 
-    async def stand(self, name: str, still: bool) -> None:
-        await self.mark("stop" if still else "continue", name)
+    async def set_paused(self, name: str, paused: bool) -> None:
+        await self.mark("stop" if paused else "continue", name)
         server = self.servers[name]
         if name in self.host_specs:
             others = [*self.controllers, "discovery"]
-            await self.cut([pair for other in others for pair in ((name, other), (other, name))], still)
-        elif still:
+            await self.cut([pair for other in others for pair in ((name, other), (other, name))], paused)
+        elif paused:
             server.still = anyio.Event()
         else:
             server.still.set()
--- a/linedeal/lab/load.py
+++ b/linedeal/lab/load.py
@@ -27,7 +27,7 @@
     # milliseconds from when a job was due to be asked, whether its owner was in time or not, to its answer
     delays: dict[str, HdrHistogram] = field(default_factory=dict)
 
-    def took(self, offering: str, seconds: float) -> None:
+    def record_delay(self, offering: str, seconds: float) -> None:
         if offering not in self.delays:
             self.delays[offering] = HdrHistogram(1, 600_000, 3)
         self.delays[offering].record_value(max(1, round(1000 * seconds)))
@@ -37,7 +37,7 @@
         ends[end] = ends.get(end, 0) + 1
 
 
-class Owners:
+class LoadGenerator:
     """`part` of `parts`: of several processes that ask together, each for its share of the rates."""
 
     def __init__(
@@ -117,7 +117,7 @@
     async def see_through(self, own, ask: JobRequest, random: Random, due: float) -> None:
         """`due`: when the job was to be asked, so that an owner who comes late counts its own delay too."""
         await own(ask, random)
-        self.tally.took(ask.offering, anyio.current_time() - due)
+        self.tally.record_delay(ask.offering, anyio.current_time() - due)
 
     async def own_in_session(self, ask: JobRequest, random: Random) -> None:
         """One job whose owner waits for its answer whatever becomes of links and controllers, then lets it run."""
--- a/linedeal/lab/loadpart.py
+++ b/linedeal/lab/loadpart.py
@@ -6,7 +6,7 @@
 import anyio
 
 from linedeal.lab.day import read_day
-from linedeal.lab.load import Owners, Tally
+from linedeal.lab.load import LoadGenerator, Tally
 from linedeal.net import Address, Net, parse_address
 
 
@@ -16,7 +16,7 @@
     def __init__(self, day: Path, addresses: Path, part: int, parts: int, record: Path, net: Net):
         places = {name: parse_address(place) for name, place in json.loads(addresses.read_text()).items()}
         self.tally, self.record = Tally(), record
-        self.owners = Owners(read_day(day), net, places, self.tally, part, parts)
+        self.owners = LoadGenerator(read_day(day), net, places, self.tally, part, parts)
         self.begun = anyio.Event()
 
     async def run(self, listen: Address, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
--- a/linedeal/lab/operating.py
+++ b/linedeal/lab/operating.py
@@ -24,7 +24,7 @@
     def council_client(self) -> CouncilClient:
         return CouncilClient(self.cluster.council, "an operator", "", TcpNet(), random.random)
 
-    async def begin(self, name: str, hosts: tuple[str, ...], bounds: dict[str, str]) -> Plan:
+    async def start_campaign(self, name: str, hosts: tuple[str, ...], bounds: dict[str, str]) -> Plan:
         mine = self.cluster.campaign.bounds
         kinds = {key: type(getattr(mine, key)) for key in bounds}
         wanted = Bounds(
@@ -54,15 +54,15 @@
                     if not left:
                         raise
 
-    async def wish(self, name: str, wish: str) -> None:
+    async def change_campaign(self, name: str, wish: str) -> None:
         async with self.council_client() as client:
             await operator.change_campaign(client, name, WISHES[wish], WITHIN)
 
-    async def hand(self, duty: str, heir: str = "") -> None:
+    async def hand_over(self, duty: str, heir: str = "") -> None:
         async with self.council_client() as client:
             await operator.hand_over(client, f"duty/{duty}", heir, WITHIN)
 
-    async def owner(self, duty: str) -> str:
+    async def duty_owner(self, duty: str) -> str:
         """The controller that has it; raises CouncilUnavailableError, and DutyError where nobody has."""
         async with self.council_client() as client:
             told = operator.require_read(await client.read(f"duty/{duty}", WITHIN), duty)
@@ -71,6 +71,6 @@
             raise duties.DutyError(f"nobody owns {duty}")
         return owner
 
-    async def standing(self) -> operator.CampaignStatus:
+    async def campaign_status(self) -> operator.CampaignStatus:
         async with self.council_client() as client:
             return await operator.campaign_status(client, WITHIN)
--- a/linedeal/lab/play.py
+++ b/linedeal/lab/play.py
@@ -12,16 +12,16 @@
 
 from linedeal.lab.day import Day
 from linedeal.lab.director import Director
-from linedeal.lab.inprocess import InProcess, Stallable
-from linedeal.lab.load import Owners, Tally
-from linedeal.lab.processes import Processes
+from linedeal.lab.inprocess import InProcessCluster, PausableRuntime
+from linedeal.lab.load import LoadGenerator, Tally
+from linedeal.lab.processes import ProcessCluster
 from linedeal.lab.record import Entry, read_record
 from linedeal.net import TcpNet
 from linedeal.policy import Controller
 from linedeal.standin.model import HostModel
 
 PROGRESS = 5.0  # seconds between two lines of progress
-QUIET = structlog.wrap_logger(
+QUIET_LOG = structlog.wrap_logger(
     structlog.PrintLogger(), wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
 )
 
@@ -29,7 +29,7 @@
 async def play(day: Day, ground, net, say: Callable[[str], None]) -> Tally:
     """The load and the orders of a day, until all is answered."""
     tally = Tally()
-    owners = Owners(day, net, ground.controllers, tally)
+    owners = LoadGenerator(day, net, ground.controllers, tally)
     director = Director(day, ground, owners, say)
     begun = anyio.current_time()
 
@@ -56,7 +56,7 @@
 
 async def play_processes(day: Day, directory: Path, say) -> tuple[Tally, Iterable[Entry]]:
     """Over sockets, in real time, with processes that can die."""
-    async with Processes(day, directory) as ground:
+    async with ProcessCluster(day, directory) as ground:
         say(f"   0.0  {len(day.controllers)} controllers and {len(day.hosts)} hosts stand")
         tally = await play(day, ground, TcpNet(), say)
         await ground.order("tap", {"flush": True})
@@ -64,8 +64,12 @@
     return tally, read_record(directory / "traffic.jsonl")
 
 
-def in_memory(
-    day: Day, work: Callable[[InProcess], Awaitable], policy=Controller, runtime=Stallable, model=HostModel
+def run_in_memory(
+    day: Day,
+    work: Callable[[InProcessCluster], Awaitable],
+    policy=Controller,
+    runtime=PausableRuntime,
+    model=HostModel,
 ):
     """What `work(ground)` returns, with the day's cluster standing in this process on trio's mock clock. The same day,
     seed and work give the same course."""
@@ -75,14 +79,14 @@
 
     async def main():
         with tempfile.TemporaryDirectory() as directory:
-            async with InProcess(day, Path(directory), QUIET, policy, runtime, model) as ground:
+            async with InProcessCluster(day, Path(directory), QUIET_LOG, policy, runtime, model) as ground:
                 return await work(ground)
 
     return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 def play_in_memory(
-    day: Day, say=lambda line: None, policy=Controller, runtime=Stallable
+    day: Day, say=lambda line: None, policy=Controller, runtime=PausableRuntime
 ) -> tuple[Tally, list[Entry]]:
     """The day's load and orders, in memory. The same day and seed give the same record."""
 
@@ -90,4 +94,4 @@
         tally = await play(day, ground, ground.net, say)
         return tally, ground.recorder.entries
 
-    return in_memory(day, work, policy, runtime)
+    return run_in_memory(day, work, policy, runtime)
--- a/linedeal/lab/processes.py
+++ b/linedeal/lab/processes.py
@@ -36,11 +36,11 @@
                 continue  # taken: another
 
 
-class ProcessFault(Exception):
+class ClusterProcessError(Exception):
     """A process of the cluster did not come up; its text names the process and its log."""
 
 
-class Processes:
+class ProcessCluster:
     """Use as an async context manager; leaving it ends every process that it started."""
 
     def __init__(self, day: Day, directory: Path):
@@ -128,7 +128,7 @@
                 process.kill()
             await process.wait()
             await anyio.sleep(0.2)
-        raise ProcessFault(f"{name} did not start, see {log}")
+        raise ClusterProcessError(f"{name} did not start, see {log}")
 
     async def hear(self, process) -> None:
         """What the tap and the tool tell, a JSON object a line."""
@@ -206,13 +206,13 @@
             await self.route(f"{member}/council", self.seats[member])
             self.put_in_place(address, self.routes[f"{member}/council"])
 
-    async def start_host(self, spec: HostSpec, young: bool) -> None:
+    async def start_host(self, spec: HostSpec, slow_start: bool) -> None:
         self.host_specs[spec.name] = spec
         self.boots[spec.name] = time.time_ns() // 1_000_000
-        await self.run(spec.name, self.host_command(spec, young))
+        await self.run(spec.name, self.host_command(spec, slow_start))
         await self.order(spec.name, {"advertise": self.routes[spec.name]})
 
-    def host_command(self, spec: HostSpec, young: bool) -> list[str]:
+    def host_command(self, spec: HostSpec, slow_start: bool) -> list[str]:
         return [
             "host",
             "--name",
@@ -236,7 +236,7 @@
             "--fence",
             str(self.directory / f"{spec.name}.fence"),
             "--control",
-            *(["--young"] if young else []),
+            *(["--young"] if slow_start else []),
         ]
 
     async def start_controller(self, spec: ControllerSpec) -> None:
@@ -282,9 +282,9 @@
             process.kill()
         await process.wait()
 
-    async def stand(self, name: str, still: bool) -> None:
-        await self.mark("stop" if still else "continue", name)
-        os.kill(self.running[name].pid, signal.SIGSTOP if still else signal.SIGCONT)
+    async def set_paused(self, name: str, paused: bool) -> None:
+        await self.mark("stop" if paused else "continue", name)
+        os.kill(self.running[name].pid, signal.SIGSTOP if paused else signal.SIGCONT)
 
     async def order(self, name: str, order: dict) -> None:
         process = self.running[name]
@@ -292,7 +292,7 @@
             await process.stdin.send(json.dumps(order).encode() + b"\n")
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             if name == "tap" or process.returncode is None:
-                raise ProcessFault(
+                raise ClusterProcessError(
                     f"{name} takes no orders any more, see {self.directory / name}.log"
                 ) from None
 
--- a/linedeal/lab/procfs.py
+++ b/linedeal/lab/procfs.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 
-def processor_of(ground, names) -> float:
+def processor_seconds(ground, names) -> float:
     """Seconds of processor time that those processes have used; one that is gone counts no more."""
     ticks = 0
     for name in names:
@@ -16,7 +16,7 @@
     return ticks / os.sysconf("SC_CLK_TCK")
 
 
-def memory_of(ground, name: str) -> float:
+def resident_memory_mb(ground, name: str) -> float:
     """MB resident; 0 of one that is gone."""
     try:
         lines = Path(f"/proc/{ground.running[name].pid}/status").read_text().splitlines()
--- a/linedeal/lab/record.py
+++ b/linedeal/lab/record.py
@@ -54,7 +54,7 @@
             self.file.flush()
 
 
-class BadRecord(Exception):
+class RecordError(Exception):
     """Names the file and the line that cannot be read."""
 
 
@@ -66,6 +66,6 @@
                 try:
                     yield decoder.decode(line)
                 except msgspec.DecodeError as error:
-                    raise BadRecord(f"{path}: line {number}: {error}") from None
+                    raise RecordError(f"{path}: line {number}: {error}") from None
     except OSError as error:
-        raise BadRecord(f"{path}: {error.strerror}") from None
+        raise RecordError(f"{path}: {error.strerror}") from None
--- a/linedeal/lab/report.py
+++ b/linedeal/lab/report.py
@@ -31,7 +31,7 @@
     delay_p99: float
 
 
-def rows(traffic: Traffic) -> list[Row]:
+def summarize_offerings(traffic: Traffic) -> list[Row]:
     found = []
     for offering in sorted({job.offering for job in traffic.jobs.values()}):
         jobs = [job for job in traffic.jobs.values() if job.offering == offering]
@@ -57,7 +57,7 @@
     return found
 
 
-def earned(traffic: Traffic, day: Day, asked: dict[str, int]) -> float:
+def earned_share(traffic: Traffic, day: Day, asked: dict[str, int]) -> float:
     """Value earned over value asked for.
 
     A job is worth its offering's value for each core and second in which it is served in full, and START seconds more
@@ -126,7 +126,7 @@
     return seconds, served
 
 
-def lines(traffic: Traffic, breaches: list[Breach], of_duties: list[DutyBreach] = ()) -> list[str]:
+def report_lines(traffic: Traffic, breaches: list[Breach], of_duties: list[DutyBreach] = ()) -> list[str]:
     """The closing table, and each rule kept or broken; claims of duties where any was at work."""
     form = "{:<16}{:>7}{:>8}{:>10}{:>13}{:>12}{:>10}{:>12}{:>10}"
     out = [
@@ -142,7 +142,7 @@
             "p99 s",
         )
     ]
-    for row in rows(traffic):
+    for row in summarize_offerings(traffic):
         out.append(
             form.format(
                 row.offering,
--- a/linedeal/lab/rig.py
+++ b/linedeal/lab/rig.py
@@ -19,7 +19,7 @@
 from linedeal.lab.director import Director
 from linedeal.lab.evenness import Arrival, HostAt
 from linedeal.lab.load import Tally
-from linedeal.lab.processes import Processes
+from linedeal.lab.processes import ProcessCluster
 from linedeal.net import parse_address
 
 PER_CROWD = 50  # hosts in one process
@@ -30,7 +30,7 @@
 SETTLE = 6.0  # seconds for all to have their first list and links
 
 
-class Rig(Processes):
+class Rig(ProcessCluster):
     """`policy`: of all controllers, `linedeal` or one of the base lines."""
 
     def __init__(
@@ -50,7 +50,7 @@
         await self.tasks.__aenter__()
         try:
             await self.run("discovery", ["discovery", "--control"])
-            await Processes.order(self, "discovery", {"period": self.period})
+            await ProcessCluster.order(self, "discovery", {"period": self.period})
             for number in range(0, len(self.day.hosts), PER_CROWD):
                 await self.start_crowd(
                     f"crowd{number // PER_CROWD}", self.day.hosts[number : number + PER_CROWD]
@@ -151,7 +151,7 @@
 
     # -- what a day does
 
-    async def start_host(self, spec: HostSpec, young: bool) -> None:
+    async def start_host(self, spec: HostSpec, slow_start: bool) -> None:
         """A host that grows: in a process of its own."""
         await self.start_crowd(f"crowd-{spec.name}", (spec,))
 
@@ -169,13 +169,15 @@
         else:
             await super().kill(name)
 
-    async def stand(self, name: str, still: bool) -> None:
+    async def set_paused(self, name: str, paused: bool) -> None:
         """A host that stands still is cut off from all."""
         if name in self.crowds:
-            await self.mark("stop" if still else "continue", name)
-            await super().order(self.crowds[name], {"host": name, "do": {"bar" if still else "unbar": ["*"]}})
+            await self.mark("stop" if paused else "continue", name)
+            await super().order(
+                self.crowds[name], {"host": name, "do": {"bar" if paused else "unbar": ["*"]}}
+            )
         else:
-            await super().stand(name, still)
+            await super().set_paused(name, paused)
 
     async def order(self, name: str, order: dict) -> None:
         if name in self.crowds:
@@ -199,7 +201,7 @@
 
     def tell_loads(self, order: dict) -> None:
         for name in self.loads:
-            self.tasks.start_soon(Processes.order, self, name, order)
+            self.tasks.start_soon(ProcessCluster.order, self, name, order)
 
 
 class RigOwners:
@@ -229,23 +231,23 @@
 
 async def play_on_rig(rig: Rig) -> RigDay:
     """The day's load and orders, until all is answered."""
-    from linedeal.lab.procfs import memory_of, processor_of
+    from linedeal.lab.procfs import resident_memory_mb, processor_seconds
 
     names = list(rig.controllers)
-    before, begun, at = processor_of(rig, names), time.time(), time.monotonic()
+    before, begun, at = processor_seconds(rig, names), time.time(), time.monotonic()
     rig.tell_loads({"begin": True})
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(Director(rig.day, rig, RigOwners(rig), rig.say).run)
         await anyio.sleep(rig.day.length)
-        seconds, used = time.monotonic() - at, processor_of(rig, names) - before
-        memory = max(memory_of(rig, name) for name in names)
+        seconds, used = time.monotonic() - at, processor_seconds(rig, names) - before
+        memory = max(resident_memory_mb(rig, name) for name in names)
     longest = max(offering.expiry for offering in rig.day.cluster.settings.offerings.values())
     records = [rig.directory / f"{name}.json" for name in rig.loads]
     with anyio.move_on_after(longest + 30.0):
         while not all(record.exists() for record in records):
             await anyio.sleep(0.2)
     for crowd in sorted(set(rig.crowds.values())):
-        await Processes.order(rig, crowd, {"flush": True})
+        await ProcessCluster.order(rig, crowd, {"flush": True})
     await anyio.sleep(0.5)
     samples, arrivals = read_crowds(rig, begun)
     tally = added([json.loads(record.read_text()) for record in records if record.exists()])
--- a/linedeal/lab/tap.py
+++ b/linedeal/lab/tap.py
@@ -58,7 +58,7 @@
         self.recorder, self.weather = recorder, weather
         self.peer = ""  # who connected, once its hello has told
         self.reader: FrameReader | None = FrameReader()
-        self.packets: Frames | None = None  # of a link between two members, once its hello has told
+        self.packets: FrameSplitter | None = None  # of a link between two members, once its hello has told
 
     async def run(self) -> None:
         self.link = self.recorder.opened(anyio.current_time(), self.to)
@@ -148,14 +148,14 @@
                 if isinstance(message, pb.Hello):
                     self.peer = message.name
                     if message.role == pb.MEMBER and not self.reader.rest:
-                        self.packets = Frames()
+                        self.packets = FrameSplitter()
                 self.reader = None
                 return
         except FrameError:
             self.reader = None  # whoever it is will be told so by the other side
 
 
-class Frames:
+class FrameSplitter:
     """Cuts a stream into whole frames, as bytes."""
 
     def __init__(self):
@@ -192,7 +192,7 @@
         await self.inner.serve(address, handle, capacity=capacity, task_status=task_status)
 
 
-class TapServer:
+class TapProcess:
     """The tap as a process of its own: one listener for each place, in front of it."""
 
     def __init__(self, net, recorder: Recorder):
--- a/linedeal/lab/trial.py
+++ b/linedeal/lab/trial.py
@@ -7,7 +7,7 @@
 import anyio
 
 from linedeal.lab.day import Day, parse_day
-from linedeal.lab.processes import Processes
+from linedeal.lab.processes import ProcessCluster
 
 CLUSTER = """
 cluster {
@@ -51,7 +51,7 @@
 async def trial(directory: Path, controllers: int, hosts: int, cluster: str | None, say) -> None:
     day = trial_day(directory, controllers, hosts, cluster)
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-        async with Processes(day, directory) as ground:
+        async with ProcessCluster(day, directory) as ground:
             for name, address in ground.controllers.items():
                 say(f"{name} takes jobs at {address[0]}:{address[1]}")
             offering = next(iter(day.cluster.settings.offerings))
--- a/tests/cluster_fixture.py
+++ b/tests/cluster_fixture.py
@@ -33,7 +33,7 @@
         str(directory / "x.day"),
         directory,
     )
-    return play.in_memory(day, work)
+    return play.run_in_memory(day, work)
 
 
 class SocketCluster:
@@ -73,7 +73,7 @@
         setup = Setup(
             name, self.cluster, self.addresses.get(name, ("127.0.0.1", 0)), self.discovery_address, 7
         )
-        runtime = Runtime(setup, store, self.net, play.QUIET)
+        runtime = Runtime(setup, store, self.net, play.QUIET_LOG)
         scope = self.scopes[name] = anyio.CancelScope()
 
         async def run(*, task_status):
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -5,7 +5,7 @@
 from linedeal.audit import find_breaches
 from linedeal.audit import reconstruct_traffic as gather
 from linedeal.lab.record import Recorder
-from linedeal.lab.report import rows
+from linedeal.lab.report import summarize_offerings
 from linedeal.protocol import encode, pb
 from linedeal.settings.cluster import parse_cluster
 from tests.engine_driver import CLUSTER
@@ -319,11 +319,11 @@
 
 
 def test_a_record_that_cannot_be_read_is_named(tmp_path):
-    from linedeal.lab.record import BadRecord, read_record
+    from linedeal.lab.record import RecordError, read_record
 
     path = tmp_path / "r.jsonl"
     path.write_text('{"t":1,"e":"mark"}\n{"t":')
-    with pytest.raises(BadRecord, match="line 2"):
+    with pytest.raises(RecordError, match="line 2"):
         list(read_record(path))
 
 
@@ -355,8 +355,8 @@
         said(started, pb.Use, cores=cores, memory=1.0)
         said(started + 10, pb.Ended, outcome=pb.DONE)
     traffic = gather(s.r.entries)
-    assert report.earned(traffic, day, {"web": 2}) == pytest.approx((10 + 4 + 5) / (2 * 14))
-    assert report.earned(traffic, day, {"web": 4}) == pytest.approx((10 + 4 + 5) / (4 * 14))
+    assert report.earned_share(traffic, day, {"web": 2}) == pytest.approx((10 + 4 + 5) / (2 * 14))
+    assert report.earned_share(traffic, day, {"web": 4}) == pytest.approx((10 + 4 + 5) / (4 * 14))
 
 
 # sessions
@@ -396,7 +396,7 @@
     s = Session()
     s.standing(2.0, s.job(1.0), pb.STAGE_RUNNING)
     assert s.broken() == set()
-    (row,) = rows(gather(s.r.entries))
+    (row,) = summarize_offerings(gather(s.r.entries))
     assert (row.placed, row.unanswered) == (1, 0)
 
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -18,7 +18,7 @@
 from linedeal.client.owner import RELEASE, OrderRefusedError, Owner
 from linedeal.lab import play
 from linedeal.lab.day import parse_day
-from linedeal.lab.inprocess import Stallable
+from linedeal.lab.inprocess import PausableRuntime
 from linedeal.net import LinkLostError, TcpNet, open_link
 from linedeal.net.base import CONNECTION_ERRORS
 from linedeal.protocol import VERSION, FrameReader, encode, pb
@@ -179,7 +179,7 @@
     day = make_day(tmp_path)
     nets = []
 
-    class FaultyRuntime(Stallable):
+    class FaultyRuntime(PausableRuntime):
         def __init__(self, setup, store, net, log, policy):
             nets.append(FaultyNet(net, direction, message, mode))
             super().__init__(setup, store, nets[-1], log, policy)
@@ -215,7 +215,7 @@
                     ends[name, number] = True
         return ends, remaining, find_breaches(ground, day)
 
-    ends, (unanswered, outboxes, clients), breaches = play.in_memory(day, work, runtime=FaultyRuntime)
+    ends, (unanswered, outboxes, clients), breaches = play.run_in_memory(day, work, runtime=FaultyRuntime)
     assert nets[0].triggered, "the fault did not occur"
     assert not unanswered and not outboxes
     assert len(clients) <= 1, "links of clients that have gone are kept"
@@ -293,7 +293,7 @@
     day = make_day(tmp_path)
     started = {"events": 0}
 
-    class RecordedRuntime(Stallable):
+    class RecordedRuntime(PausableRuntime):
         def __init__(self, *args):
             super().__init__(*args)
             started["runtime"] = self
@@ -344,7 +344,7 @@
             find_breaches(ground, day),
         )
 
-    verdicts, greatest, unanswered, clients, breaches = play.in_memory(day, work, runtime=RecordedRuntime)
+    verdicts, greatest, unanswered, clients, breaches = play.run_in_memory(day, work, runtime=RecordedRuntime)
     assert set(verdicts) <= {"placed", "rejected"} and verdicts.count("placed") >= 6, verdicts
     assert not unanswered and not clients and not breaches, breaches
     assert greatest[0] <= 500 and greatest[1] <= 1000, (
@@ -356,7 +356,7 @@
     # Guards against a lost wake-up: the next timer may be seconds away.
     day = make_day(tmp_path)
 
-    class SlowDisk(Stallable):
+    class SlowDisk(PausableRuntime):
         async def persist(self, effects):
             await anyio.sleep(0.05)
             await super().persist(effects)
@@ -380,7 +380,7 @@
                 await anyio.sleep(0.3)
         return waits
 
-    waits = play.in_memory(day, work, runtime=SlowDisk)
+    waits = play.run_in_memory(day, work, runtime=SlowDisk)
     assert max(waits) < 0.25, waits
 
 
@@ -421,7 +421,7 @@
             find_breaches(ground, day),
         )
 
-    clients, unanswered, breaches = play.in_memory(day, work)
+    clients, unanswered, breaches = play.run_in_memory(day, work)
     assert (clients, unanswered) == ((0, 0) if disconnected else (1, 1)) and not breaches
 
 
@@ -445,14 +445,14 @@
         async with Client.connect(ground.net, ("c1", 1), "good") as client:
             return closed, (await client.submit(FEED)).verdict, find_breaches(ground, day)
 
-    closed, verdict, breaches = play.in_memory(day, work)
+    closed, verdict, breaches = play.run_in_memory(day, work)
     assert closed >= 40 and verdict == "placed" and not breaches
 
 
 def test_client_that_stops_reading_during_a_write_is_disconnected(tmp_path):
     day = make_day(tmp_path, CLUSTER.replace("hello = 1", "hello = 1\n  client_idle = 2"))
 
-    class CloggedRuntime(Stallable):
+    class CloggedRuntime(PausableRuntime):
         def __init__(self, setup, store, net, log, policy):
             super().__init__(setup, store, CloggedNet(net), log, policy)
 
@@ -467,7 +467,7 @@
         await anyio.sleep(6.0)
         return len(ground.servers["c1"].client_listener.clients), find_breaches(ground, day)
 
-    clients, breaches = play.in_memory(day, work, runtime=CloggedRuntime)
+    clients, breaches = play.run_in_memory(day, work, runtime=CloggedRuntime)
     assert clients == 0 and not breaches
 
 
@@ -476,7 +476,7 @@
     day = make_day(tmp_path)
     queued = []
 
-    class CloggedRuntime(Stallable):
+    class CloggedRuntime(PausableRuntime):
         def __init__(self, setup, store, net, log, policy):
             super().__init__(setup, store, FaultyNet(net, "out", "Offer", "clog"), log, policy)
 
@@ -509,7 +509,7 @@
             tasks.cancel_scope.cancel()
         return verdict, find_breaches(ground, day)
 
-    verdict, breaches = play.in_memory(day, work, runtime=CloggedRuntime)
+    verdict, breaches = play.run_in_memory(day, work, runtime=CloggedRuntime)
     assert verdict in ("placed", "written off") and not breaches
     assert max(queued) <= 4000, max(queued)
 
@@ -558,7 +558,7 @@
             dict(ground.servers["c1"].client_listener.links.of),
         )
 
-    replies, other_reply, remaining = play.in_memory(day, work)
+    replies, other_reply, remaining = play.run_in_memory(day, work)
     assert (replies.count("Welcome"), other_reply, remaining) == (14, "Welcome", {"school": 1})
 
 
@@ -582,7 +582,7 @@
                 found = await owner.wait_until(keys, lambda standing: standing.over, every=True)
         return found, find_breaches(ground, day)
 
-    found, breaches = play.in_memory(day, work)
+    found, breaches = play.run_in_memory(day, work)
     assert not breaches
 
 
@@ -665,7 +665,7 @@
         engine = ground.servers["c1"].engine
         return stages, dict(engine.unanswered), find_breaches(ground, day)
 
-    stages, unanswered, breaches = play.in_memory(day, work)
+    stages, unanswered, breaches = play.run_in_memory(day, work)
     assert not unanswered and not breaches, breaches
     unfinished = {
         job: stage
@@ -680,7 +680,7 @@
     # cluster.
     day = make_day(tmp_path)
 
-    class HalfOpenRuntime(Stallable):
+    class HalfOpenRuntime(PausableRuntime):
         def __init__(self, setup, store, net, log, policy):
             self.faulty_net = FaultyNet(net, "in", "HostList", "half open")
             self.faulty_net.triggered = True
@@ -697,7 +697,7 @@
         await anyio.sleep(12.0)
         return outdated, known["h01"].listed.mode.name, find_breaches(ground, day)
 
-    outdated, current, breaches = play.in_memory(day, work, runtime=HalfOpenRuntime)
+    outdated, current, breaches = play.run_in_memory(day, work, runtime=HalfOpenRuntime)
     assert (outdated, current) == ("SERVING", "DRAINING") and not breaches
 
 
@@ -717,5 +717,5 @@
         await anyio.sleep(0.5)
         return len(identified), len(ground.servers["c1"].client_listener.clients), find_breaches(ground, day)
 
-    identified, clients, breaches = play.in_memory(day, work)
+    identified, clients, breaches = play.run_in_memory(day, work)
     assert (identified, clients) == (8, 10) and not breaches
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -297,9 +297,9 @@
 
 
 def test_a_controller_that_forgets_its_journal_is_caught(tmp_path):
-    from linedeal.lab.inprocess import Stallable
+    from linedeal.lab.inprocess import PausableRuntime
 
-    class Both(Forgetful, Stallable):
+    class Both(Forgetful, PausableRuntime):
         pass
 
     assert 1 in broken_rules(played(session_day(tmp_path, *KILLS), runtime=Both)[1])
--- a/tests/test_evenness.py
+++ b/tests/test_evenness.py
@@ -145,7 +145,7 @@
     from linedeal.lab.load import Tally
 
     one = Tally()
-    one.took("web", 0.1)
+    one.record_delay("web", 0.1)
     part = {
         "asked": {"web": 2},
         "ends": {"web": {"placed": 2}},
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,8 +17,8 @@
 from linedeal.fleet.duty_service import CENSUS_DUTY
 from linedeal.fleet.council_service import CouncilService
 from linedeal.lab.day import parse_day
-from linedeal.lab.play import QUIET
-from linedeal.lab.processes import Processes
+from linedeal.lab.play import QUIET_LOG
+from linedeal.lab.processes import ProcessCluster
 from linedeal.lab.trial import CLUSTER
 from linedeal.net import LinkLostError, TcpNet
 from linedeal.protocol import pb
@@ -47,7 +47,7 @@
 class Fleet:
     """Five controllers, three of them members, and two hosts; a sampler that reads the council all the time."""
 
-    def __init__(self, ground: Processes, asker: CouncilClient):
+    def __init__(self, ground: ProcessCluster, asker: CouncilClient):
         self.ground, self.asker = ground, asker
         self.duties: list[duty.Duty] = []
         self.results: list[census.Census] = []
@@ -112,7 +112,7 @@
 
     async def main():
         with anyio.fail_after(240):
-            async with Processes(day, directory / "day") as ground:
+            async with ProcessCluster(day, directory / "day") as ground:
                 settings = read_cluster(ground.cluster_path).council
                 async with CouncilClient(settings, "sampler", "", TcpNet(), lambda: 0.5) as asker:
                     fleet = Fleet(ground, asker)
@@ -197,9 +197,9 @@
     async def course(fleet):
         for _ in range(2):
             owner, token = fleet.owner(), fleet.token()
-            await fleet.ground.stand(owner, True)
+            await fleet.ground.set_paused(owner, True)
             await fleet.until(lambda: fleet.token() > token and fleet.results[-1].token > token)
-            await fleet.ground.stand(owner, False)
+            await fleet.ground.set_paused(owner, False)
             await anyio.sleep(LEASE)
             assert fleet.results[-1].token > token and "duty lost" in fleet.log(owner)
 
@@ -255,7 +255,7 @@
 def test_two_duties_ask_one_member_at_once_over_one_link(tmp_path):
     async def main():
         settings = CouncilSettings(id="lapa", places={"c1": ("127.0.0.1", 0)})
-        council = CouncilService(settings, "c1", tmp_path, ("127.0.0.1", 0), "", TcpNet(), QUIET)
+        council = CouncilService(settings, "c1", tmp_path, ("127.0.0.1", 0), "", TcpNet(), QUIET_LOG)
         answers = []
         async with anyio.create_task_group() as tasks:
             with anyio.fail_after(30):
@@ -301,7 +301,7 @@
 
     async def main():
         with anyio.fail_after(5):
-            await isolation.run_isolated("duties", work, QUIET)
+            await isolation.run_isolated("duties", work, QUIET_LOG)
 
     anyio.run(main)
     assert len(lives) == 4
@@ -310,8 +310,8 @@
 def test_without_a_majority_duties_stand_still_jobs_do_not_and_a_heal_brings_them_back(tmp_path):
     async def course(fleet):
         token, number = fleet.token(), len(fleet.duties)
-        await fleet.ground.stand("c2", True)
-        await fleet.ground.stand("c3", True)
+        await fleet.ground.set_paused("c2", True)
+        await fleet.ground.set_paused("c3", True)
         await anyio.sleep(2 * LEASE)
         told = await fleet.asker.change("x", Change("x1", 0, b"x"), 3.5)
         assert told.outcome is Outcome.UNKNOWN and {one.partition(":")[0] for one in told.silent} == {
@@ -320,8 +320,8 @@
             "c3",
         }
         assert await placed(fleet, "c1") and await placed(fleet, "c4")
-        await fleet.ground.stand("c2", False)
-        await fleet.ground.stand("c3", False)
+        await fleet.ground.set_paused("c2", False)
+        await fleet.ground.set_paused("c3", False)
         await fleet.until(lambda: fleet.token() > token)
         assert len(fleet.duties) > number
 
@@ -351,10 +351,10 @@
         told = await fleet.asker.ask(pb.CouncilAsk(kind=pb.REPLACE, key="c3", id="c3"), 5.0)
         assert told.outcome is Outcome.DONE
         await until_status(fleet, "c3", lambda stands: stands["votes"] and stands["epoch"] == 2)
-        await fleet.ground.stand("c1", True)
+        await fleet.ground.set_paused("c1", True)
         number = len(fleet.results)
         await fleet.until(lambda: len(fleet.results) > number + 5, 10)
-        await fleet.ground.stand("c1", False)
+        await fleet.ground.set_paused("c1", False)
 
     play(tmp_path, course)
 
@@ -362,7 +362,7 @@
 def test_who_asked_is_told_when_the_disk_fails_and_the_next_life_goes_on(tmp_path, monkeypatch):
     async def main():
         settings = CouncilSettings(id="lapa", places={"c1": ("127.0.0.1", 0)})
-        council = CouncilService(settings, "c1", tmp_path, ("127.0.0.1", 0), "", TcpNet(), QUIET)
+        council = CouncilService(settings, "c1", tmp_path, ("127.0.0.1", 0), "", TcpNet(), QUIET_LOG)
         async with anyio.create_task_group() as tasks:
             with anyio.fail_after(15):
                 seat = await tasks.start(council.run)
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -10,9 +10,9 @@
 from linedeal.audit.duties import executed_orders, find_duty_breaches
 from linedeal.duties.duty import DutyError
 from linedeal.fleet.operator import CouncilUnavailableError
-from linedeal.lab.day import DayFault, parse_day
+from linedeal.lab.day import DayFileError, parse_day
 from linedeal.lab.play import play
-from linedeal.lab.processes import Processes
+from linedeal.lab.processes import ProcessCluster
 from linedeal.lab.record import read_record
 from linedeal.net import TcpNet
 from linedeal.protocol import pb
@@ -82,7 +82,7 @@
     def play(self, course=None, within=100.0):
         async def main():
             with anyio.fail_after(within):
-                async with Processes(self.day, self.directory / "day") as self.ground:
+                async with ProcessCluster(self.day, self.directory / "day") as self.ground:
                     await self.until(self.owned)
                     async with anyio.create_task_group() as tasks:
                         tasks.start_soon(play, self.day, self.ground, TcpNet(), lambda line: None)
@@ -107,10 +107,10 @@
                     if await holds():
                         return
                 await anyio.sleep(0.2)
-        pytest.fail(f"{holds.__name__} never held: {await self.ground.operator.standing()}")
+        pytest.fail(f"{holds.__name__} never held: {await self.ground.operator.campaign_status()}")
 
     async def owned(self):
-        return bool((await self.ground.operator.standing()).duty.owner)
+        return bool((await self.ground.operator.campaign_status()).duty.owner)
 
     async def all_vote(self):
         async with self.ground.operator.council_client() as asker:
@@ -121,11 +121,11 @@
         return all(one is not None and json.loads(one.body)["votes"] for one in told)
 
     async def over(self):
-        self.standing = await self.ground.operator.standing()
+        self.standing = await self.ground.operator.campaign_status()
         return self.standing.plan is not None and self.standing.progress.ended != ""
 
     async def begun(self):
-        return bool((await self.ground.operator.standing()).progress.out)
+        return bool((await self.ground.operator.campaign_status()).progress.out)
 
     def boots(self) -> dict[str, int]:
         """Lives that each host had."""
@@ -148,13 +148,13 @@
     async def course(release):
         for fault in ("kill", "stop", "kill", "hand"):
             await release.until(release.begun)
-            owner, token = await release.ground.operator.owner("campaign"), await token_of(release)
+            owner, token = await release.ground.operator.duty_owner("campaign"), await token_of(release)
             if fault == "kill":
                 await release.ground.kill(owner)
             elif fault == "stop":
-                await release.ground.stand(owner, True)
+                await release.ground.set_paused(owner, True)
             else:
-                await release.ground.operator.hand("campaign")
+                await release.ground.operator.hand_over("campaign")
 
             async def passed_on():
                 return await token_of(release) > token
@@ -166,7 +166,7 @@
                 await release.ground.start(owner)
                 await release.until(release.all_vote)
             elif fault == "stop":  # asleep for longer than the lease: what it sends now is an old owner's
-                await release.ground.stand(owner, False)
+                await release.ground.set_paused(owner, False)
 
     release = Release(tmp_path, "at 1 campaign r1 hosts most=1\n", length=16.0).play(course)
     assert release.standing.progress.ended == "done" and set(release.boots().values()) == {2}
@@ -174,7 +174,7 @@
 
 
 async def token_of(release) -> int:
-    return (await release.ground.operator.standing()).duty.token
+    return (await release.ground.operator.campaign_status()).duty.token
 
 
 def test_a_campaign_goes_on_through_lost_late_doubled_packets_clocks_apart_and_a_dead_host(tmp_path):
@@ -219,27 +219,27 @@
         operator = release.ground.operator
         await release.until(release.begun)
         with pytest.raises(DutyError, match="r1 is not over"):
-            await operator.begin("r2", ("h01",), {})
-        await operator.wish("r1", "pause")
+            await operator.start_campaign("r2", ("h01",), {})
+        await operator.change_campaign("r1", "pause")
 
         async def stands():
-            standing = await operator.standing()
+            standing = await operator.campaign_status()
             return not standing.progress.out and "operator" in standing.progress.stands
 
         await release.until(stands, 30)
-        done = len((await operator.standing()).progress.done)
+        done = len((await operator.campaign_status()).progress.done)
         assert 0 < done < 3
-        await operator.wish("r1", "resume")
+        await operator.change_campaign("r1", "resume")
         await release.until(release.over, 60)
         with pytest.raises(DutyError, match="r1 has been"):
-            await operator.begin("r1", ("h01",), {})
+            await operator.start_campaign("r1", ("h01",), {})
         with pytest.raises(DutyError, match="not among the hosts that serve: h03"):
-            await operator.begin("r2", ("h02", "h03"), {})
-        await operator.begin("r3", ("h05", "h06"), {"most": "1"})
+            await operator.start_campaign("r2", ("h02", "h03"), {})
+        await operator.start_campaign("r3", ("h05", "h06"), {"most": "1"})
         await release.until(release.begun)
-        await operator.wish("r3", "abort")
+        await operator.change_campaign("r3", "abort")
         with pytest.raises(DutyError, match="being aborted"):
-            await operator.wish("r3", "resume")
+            await operator.change_campaign("r3", "resume")
 
     release = Release(tmp_path, "at 0.5 campaign r1 h01,h02,h03 most=2\nat 0.7 kill h03\n").play(course)
     assert release.standing.plan.id == "r3" and release.standing.progress.ended in ("aborted", "done")
@@ -284,9 +284,9 @@
         "loss",
         "jump h01 2",
     ]
-    with pytest.raises(DayFault) as found:
+    with pytest.raises(DayFileError) as found:
         parse_day(DAY + "clock c1 9\n" + "\n".join(f"at 1 {line}" for line in lines), "f.day", tmp_path)
     assert len(found.value.lines) == len(lines) + 1, found.value.lines
     (tmp_path / "cluster.hcl").write_text(CLUSTER[: CLUSTER.index("campaign {")])
-    with pytest.raises(DayFault, match="no block campaign"):
+    with pytest.raises(DayFileError, match="no block campaign"):
         parse_day(DAY + "at 1 campaign r1 hosts", "f.day", tmp_path)
--- a/tests/test_store_and_settings.py
+++ b/tests/test_store_and_settings.py
@@ -13,7 +13,7 @@
 from linedeal.engine import effects
 from linedeal.engine.events import ListedHost
 from linedeal.interface import Effect, Mode, TopologyLevel
-from linedeal.lab.day import DayFault, parse_day
+from linedeal.lab.day import DayFileError, parse_day
 from linedeal.settings import cluster as settings_cluster
 from linedeal.settings.cluster import ConfigError, parse_cluster, read_cluster
 from linedeal.state import Store, StoreError, journal_clock, upgrade
@@ -162,7 +162,7 @@
 
 
 def test_all_problems_of_a_day_file_are_reported_at_once():
-    with pytest.raises(DayFault) as caught:
+    with pytest.raises(DayFileError) as caught:
         parse_day(
             "cluster examples/cluster.hcl\ncontrollers 3\nhosts 2 kind std\nhosts 1 kind lead\n"
             "load course-reader 2 cups=3\nload poster 1\nat 3 kill h09 for 2\nat 4 mute h01\n"
