--- a/benchmarks/bad_days.py
+++ b/benchmarks/bad_days.py
@@ -12,7 +12,7 @@
 
 from linedeal import audit
 from linedeal.lab import report
-from linedeal.lab.baselines import ByChance, MostRoom
+from linedeal.lab.baselines import RandomChoice, MostFreeCapacity
 from linedeal.lab.day import parse_day
 from linedeal.lab.play import play_in_memory
 from linedeal.policy import Controller
@@ -53,7 +53,7 @@
 }
 
 
-POLICIES = {"linedeal": Controller, "random": ByChance, "most room": MostRoom}
+POLICIES = {"linedeal": Controller, "random": RandomChoice, "most room": MostFreeCapacity}
 
 
 def one(job):
--- a/linedeal/cli.py
+++ b/linedeal/cli.py
@@ -511,11 +511,11 @@
 ):
     """How evenly so many controllers load so many stand-in hosts: real processes over sockets, or in memory. Each policy
     plays the same day."""
-    from linedeal.lab import evenrun
-    from linedeal.lab.baselines import IN_MEMORY, POLICIES
-    from linedeal.lab.evenday import TROUBLES
+    from linedeal.lab import balance_run
+    from linedeal.lab.baselines import IN_MEMORY_POLICIES, POLICIES
+    from linedeal.lab.balance_day import TROUBLES
 
-    names, known = policies.split(","), IN_MEMORY if in_memory else POLICIES
+    names, known = policies.split(","), IN_MEMORY_POLICIES if in_memory else POLICIES
     if unknown := [name for name in names if name not in known]:
         raise Fault(f"no policy {unknown[0]!r}: {', '.join(known)}", 2)
     if trouble not in TROUBLES:
@@ -528,20 +528,20 @@
     say = (lambda line: None) if as_json else (lambda line: print(line, flush=True))
     found = {}
     for name in names:
-        plan = evenrun.Plan(controllers, hosts, seconds, room, trouble, name, seed)
+        plan = balance_run.RunConfig(controllers, hosts, seconds, room, trouble, name, seed)
         found[name] = (
-            evenrun.in_memory(plan, place / name)
+            balance_run.run_in_memory(plan, place / name)
             if in_memory
-            else run(evenrun.processes, plan, place / name, say)
+            else run(balance_run.run_processes, plan, place / name, say)
         )
         if not as_json:
-            print(*evenrun.lines(name, found[name], plan), sep="\n", flush=True)
+            print(*balance_run.report_lines(name, found[name], plan), sep="\n", flush=True)
     if as_json:
-        print(json.dumps({name: evenrun.shown(one) for name, one in found.items()}))
+        print(json.dumps({name: balance_run.to_json_dict(one) for name, one in found.items()}))
     if plot:
-        from linedeal.lab.heat import draw
+        from linedeal.lab.load_plot import plot_load
 
-        draw(
+        plot_load(
             Path(plot),
             {name: (one.samples, one.arrivals) for name, one in found.items()},
             [(seconds / 2, trouble)] if trouble != "calm" else [],
--- a/linedeal/council/rounds.py
+++ b/linedeal/council/rounds.py
@@ -1,7 +1,7 @@
 """The proposer's side of one request: look, prepare, accept. Pure functions on frozen records.
 
-The state is kept in records and not in a coroutine because the model checker in `lab/explore.py` copies a
-member's whole state at every step.
+The state is kept in records and not in a coroutine because the model checker
+(`lab/model_checker.py`) copies a member's whole state at every step.
 """
 
 from dataclasses import dataclass, replace
--- a/linedeal/lab/evening.py
+++ b/linedeal/lab/balance_in_memory.py
@@ -8,7 +8,7 @@
 
 from linedeal.lab.baselines import OneChooser
 from linedeal.lab.day import Day
-from linedeal.lab.evenness import Arrival, HostAt
+from linedeal.lab.balance_metrics import Arrival, HostAt
 from linedeal.lab.inprocess import InProcessCluster
 from linedeal.lab.load import Tally
 from linedeal.lab.play import run_in_memory, play
--- a/linedeal/lab/evenrun.py
+++ b/linedeal/lab/balance_run.py
@@ -5,10 +5,10 @@
 
 from linedeal import audit
 from linedeal.lab import report
-from linedeal.lab.baselines import IN_MEMORY
-from linedeal.lab.evenday import even_day
-from linedeal.lab.evening import played_in_memory
-from linedeal.lab.evenness import Evenness, by_traffic, of_day
+from linedeal.lab.baselines import IN_MEMORY_POLICIES
+from linedeal.lab.balance_day import even_day
+from linedeal.lab.balance_in_memory import played_in_memory
+from linedeal.lab.balance_metrics import Evenness, by_traffic, of_day
 from linedeal.lab.rig import Rig, RigDay, play_on_rig
 
 LATE = 0.25  # seconds by which a list is old in the mean, beside the time between two
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class RunConfig:
     controllers: int
     hosts: int
     seconds: float
@@ -26,11 +26,11 @@
     seed: int
 
 
-def in_memory(plan: Plan, directory: Path) -> RigDay:
+def run_in_memory(plan: RunConfig, directory: Path) -> RigDay:
     day, _ = even_day(
         directory, plan.controllers, plan.hosts, plan.seconds, plan.room, plan.trouble, plan.seed
     )
-    found = played_in_memory(day, IN_MEMORY[plan.policy])
+    found = played_in_memory(day, IN_MEMORY_POLICIES[plan.policy])
     traffic = audit.reconstruct_traffic(found.entries)
     return RigDay(
         found.samples,
@@ -41,7 +41,7 @@
     )
 
 
-async def processes(plan: Plan, directory: Path, say) -> RigDay:
+async def run_processes(plan: RunConfig, directory: Path, say) -> RigDay:
     day, file = even_day(
         directory, plan.controllers, plan.hosts, plan.seconds, plan.room, plan.trouble, plan.seed
     )
@@ -49,14 +49,14 @@
         return await play_on_rig(rig)
 
 
-def measured(day: RigDay, plan: Plan) -> list[Evenness]:
+def measure(day: RigDay, plan: RunConfig) -> list[Evenness]:
     """Over the last third, when the fleet is filled and a trouble of the half is over."""
     return of_day(day.samples, day.arrivals, 1.0, plan.seconds * 2 / 3, plan.seconds)
 
 
-def lines(name: str, day: RigDay, plan: Plan) -> list[str]:
+def report_lines(name: str, day: RigDay, plan: RunConfig) -> list[str]:
     out = []
-    for kind in measured(day, plan):
+    for kind in measure(day, plan):
         out.append(
             f"{name:14} {kind.kind}: {kind.hosts} hosts at {kind.mean:.2f} of their room, most over mean "
             f"{kind.most_over_mean:.2f} (p95 {kind.most_over_mean_p95:.2f}), variation {kind.variation:.2f}, Jain {kind.jain:.3f}, "
@@ -84,7 +84,7 @@
     ]
 
 
-def shown(day: RigDay) -> dict:
+def to_json_dict(day: RigDay) -> dict:
     kinds = of_day(day.samples, day.arrivals, 1.0)
     return {
         "kinds": [asdict(kind) for kind in kinds],
--- a/linedeal/lab/baselines.py
+++ b/linedeal/lab/baselines.py
@@ -32,14 +32,14 @@
         raise NotImplementedError
 
 
-class ByChance(Baseline):
+class RandomChoice(Baseline):
     """Any host that the gate allows and that has room."""
 
     def pick(self, fit, track):
         return self.random.choice(fit)[1]
 
 
-class MostRoom(Baseline):
+class MostFreeCapacity(Baseline):
     """The host with most room by the late list, beside what this controller sent since."""
 
     def pick(self, fit, track):
@@ -102,10 +102,10 @@
 
 POLICIES = {
     "linedeal": Controller,
-    "random": ByChance,
-    "most-room": MostRoom,
+    "random": RandomChoice,
+    "most-room": MostFreeCapacity,
     "two-choices": TwoChoices,
     "three-choices": ThreeChoices,
     "own-subset": OwnSubset,
 }
-IN_MEMORY = {**POLICIES, "bound": OneChooser}
+IN_MEMORY_POLICIES = {**POLICIES, "bound": OneChooser}
--- a/linedeal/lab/relay.py
+++ b/linedeal/lab/duty_simulation.py
@@ -16,33 +16,33 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Weather:
+class FaultModel:
     """What goes wrong; seconds of true time, rates and shares from 0 to 1."""
 
-    drift: float = 0.05  # clocks run up to this much faster or slower
-    delay: float = 0.3  # of a word, at most
-    lost: float = 0.1
-    freezes: float = 0.03  # a second and controller
-    frozen: float = 12.0  # longest
-    cuts: float = 0.03  # from the council, not from the host
-    cut: float = 12.0
-    gaps: float = 0.3  # effects whose sender is frozen between its check and its send
-    hands: float = 0.02  # an owner hands over, a second
+    max_drift: float = 0.05  # clocks run up to this much faster or slower
+    max_delay: float = 0.3  # of a word, at most
+    loss_rate: float = 0.1
+    freeze_rate: float = 0.03  # a second and controller
+    max_freeze: float = 12.0  # longest
+    partition_rate: float = 0.03  # from the council, not from the host
+    max_partition: float = 12.0
+    send_freeze_share: float = 0.3  # effects whose sender is frozen between its check and its send
+    handover_rate: float = 0.02  # an owner hands over, a second
 
 
 @dataclass(slots=True)
-class Course:
+class SimulationResult:
     """What happened."""
 
-    carried: list[tuple[float, str, int, int]] = field(
+    executed: list[tuple[float, str, int, int]] = field(
         default_factory=list
     )  # time, who, token, step of the work
-    refused: int = 0
-    owners: int = 0  # changes of owner
+    rejected: int = 0
+    owner_changes: int = 0  # changes of owner
     gaps: list[float] = field(
         default_factory=list
     )  # seconds from an owner's last effect to the next one's first
-    faults: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -56,23 +56,23 @@
         return now * self.rate + self.offset
 
 
-class Relay:
+class DutySimulation:
     def __init__(
         self,
         seed: int,
         controllers: int = 4,
-        weather: Weather = Weather(),
+        fault_model: FaultModel = FaultModel(),
         timing: LeaseTiming = LeaseTiming(),
     ):
         self.random = random.Random(seed)
-        self.weather, self.now, self.events, self.number = weather, 0.0, [], 0
-        self.value, self.fence, self.course = Value(), Fence(), Course()
+        self.fault_model, self.now, self.events, self.number = fault_model, 0.0, [], 0
+        self.value, self.fence, self.course = Value(), Fence(), SimulationResult()
         self.holders: dict[str, Holder] = {}
         self.clocks: dict[str, Clock] = {}
         self.steps: dict[str, int] = {}  # the next step of the work, as each owner knows it
         for number in range(controllers):
             name = f"n{number}"
-            rate = 1 + self.random.uniform(-weather.drift, weather.drift)
+            rate = 1 + self.random.uniform(-fault_model.max_drift, fault_model.max_drift)
             self.clocks[name] = Clock(rate, self.random.uniform(0, 1000))
             self.holders[name] = Holder(
                 "work", name, True, self.random.random, self.clocks[name].read(0.0), timing
@@ -81,7 +81,7 @@
             self.after(0.2, self.act, name)
             self.after(1.0, self.trouble, name)
 
-    def play(self, seconds: float) -> Course:
+    def play(self, seconds: float) -> SimulationResult:
         while self.events and self.events[0][0] <= seconds:
             self.now, _, what, arguments = heapq.heappop(self.events)
             what(*arguments)
@@ -100,7 +100,7 @@
             and holder.fencing_token(self.clocks[name].read(self.now)) is not None
         ]
         if len(acting) > 1:
-            self.course.faults.append(f"{' and '.join(acting)} act at once at {self.now:.3f}")
+            self.course.violations.append(f"{' and '.join(acting)} act at once at {self.now:.3f}")
 
     # --- controllers
 
@@ -127,15 +127,15 @@
                     self.after(self.delay(), self.change, name, one)  # doubled
             elif type(one) is Gained:
                 self.steps[name] = int(one.progress or b"0")
-                self.course.owners += 1
+                self.course.owner_changes += 1
             elif type(one) is Lost:
                 self.steps.pop(name, None)
 
     def passes(self, name: str) -> bool:
-        return self.now >= self.clocks[name].cut_until and self.random.random() >= self.weather.lost
+        return self.now >= self.clocks[name].cut_until and self.random.random() >= self.fault_model.loss_rate
 
     def delay(self) -> float:
-        return self.random.uniform(0.001, self.weather.delay)
+        return self.random.uniform(0.001, self.fault_model.max_delay)
 
     def change(self, name: str, ask: Request) -> None:
         """At the council."""
@@ -157,9 +157,9 @@
         token = holder.fencing_token(clock.read(self.now))
         if token is not None and name in self.steps:
             step = self.steps[name]
-            if self.random.random() < self.weather.gaps * 0.1:
+            if self.random.random() < self.fault_model.send_freeze_share * 0.1:
                 clock.frozen_until = max(
-                    clock.frozen_until, self.now + self.random.uniform(0, self.weather.frozen)
+                    clock.frozen_until, self.now + self.random.uniform(0, self.fault_model.max_freeze)
                 )
             self.send(name, token, step)
             self.steps[name] += 1
@@ -175,30 +175,32 @@
         try:
             self.fence = self.fence.admit("work", token)
         except DutyError:
-            self.course.refused += 1
+            self.course.rejected += 1
             return
-        carried = self.course.carried
+        carried = self.course.executed
         if carried and carried[-1][2] > token:
-            self.course.faults.append(f"token {token} of {name} is carried out after {carried[-1][2]}")
+            self.course.violations.append(f"token {token} of {name} is carried out after {carried[-1][2]}")
         if carried and carried[-1][2] == token and carried[-1][1] != name:
-            self.course.faults.append(f"token {token} is {name}'s and {carried[-1][1]}'s")
+            self.course.violations.append(f"token {token} is {name}'s and {carried[-1][1]}'s")
         if carried and carried[-1][2] < token:
             self.course.gaps.append(self.now - carried[-1][0])
             if step < carried[-1][3] - 20:
-                self.course.faults.append(f"{name} begins at step {step}, {carried[-1][3]} was done")
+                self.course.violations.append(f"{name} begins at step {step}, {carried[-1][3]} was done")
         carried.append((self.now, name, token, step))
 
     def trouble(self, name: str) -> None:
         clock, chance = self.clocks[name], self.random.random
-        if chance() < self.weather.freezes:
+        if chance() < self.fault_model.freeze_rate:
             clock.frozen_until = max(
-                clock.frozen_until, self.now + self.random.uniform(1, self.weather.frozen)
+                clock.frozen_until, self.now + self.random.uniform(1, self.fault_model.max_freeze)
+            )
+        if chance() < self.fault_model.partition_rate:
+            clock.cut_until = max(
+                clock.cut_until, self.now + self.random.uniform(1, self.fault_model.max_partition)
             )
-        if chance() < self.weather.cuts:
-            clock.cut_until = max(clock.cut_until, self.now + self.random.uniform(1, self.weather.cut))
         holder = self.holders[name]
         if (
-            chance() < self.weather.hands
+            chance() < self.fault_model.handover_rate
             and holder.fencing_token(clock.read(self.now)) is not None
             and self.now >= clock.frozen_until
         ):
--- a/linedeal/lab/history.py
+++ b/linedeal/lab/linearizability.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Op:
+class Operation:
     """`began` and `ended` are places in one order of all beginnings and ends; `ended` None: not answered."""
 
     change: Change | None
@@ -20,12 +20,12 @@
     value: Value | None = None
 
 
-def linearizable(ops: tuple[Op, ...]) -> bool:
+def is_linearizable(ops: tuple[Operation, ...]) -> bool:
     """For the operations on one register, absent at first. Versions and ids of changes have to agree as well.
 
     >>> first = Change("a", 0, b"1")
-    >>> done, early = Op(first, 0, 1, Outcome.DONE, Value(1, b"1", ("a",))), Op(None, 2, 3, Outcome.READ, Value())
-    >>> linearizable((done,)), linearizable((done, early))
+    >>> done, early = Operation(first, 0, 1, Outcome.DONE, Value(1, b"1", ("a",))), Operation(None, 2, 3, Outcome.READ, Value())
+    >>> is_linearizable((done,)), is_linearizable((done, early))
     (True, False)
     """
     failed = set()
@@ -49,11 +49,11 @@
     return search(frozenset(range(len(ops))), Value())
 
 
-def is_open(op: Op) -> bool:
+def is_open(op: Operation) -> bool:
     return op.ended is None or op.outcome in (Outcome.UNKNOWN, Outcome.BUSY, Outcome.UNREADY)
 
 
-def effects(op: Op, value: Value) -> list[Value]:
+def effects(op: Operation, value: Value) -> list[Value]:
     """The values it may leave behind; none where its answer does not fit `value`."""
     if op.ended is not None and op.outcome in (Outcome.BUSY, Outcome.UNREADY):
         return [value]  # never begun
--- a/linedeal/lab/heat.py
+++ b/linedeal/lab/load_plot.py
@@ -3,10 +3,10 @@
 from pathlib import Path
 from typing import Sequence
 
-from linedeal.lab.evenness import Arrival, HostAt, over_time
+from linedeal.lab.balance_metrics import Arrival, HostAt, over_time
 
 
-def draw(
+def plot_load(
     path: Path,
     days: dict[str, tuple[Sequence[HostAt], Sequence[Arrival]]],
     troubles: Sequence[tuple[float, str]] = (),
--- a/linedeal/lab/explore.py
+++ b/linedeal/lab/model_checker.py
@@ -1,7 +1,7 @@
 """Plays the council's core through orders of delivery, loss, doubling, crash and timer, and judges every state.
 
 One `World` is some members, what is on their disks, the packets under way and what clients were answered. `moves_of`
-lists what may happen next, `after` makes one happen in a copy. `exhaust` tries all within budgets of faults, `wander`
+lists what may happen next, `after` makes one happen in a copy. `explore_all` tries all within budgets of faults, `explore_random`
 follows one seeded random schedule. Judged from what is on disk and was answered alone:
 
 - two votes at one ballot are for one value, and what majorities chose is a chain: each later value follows the earlier;
@@ -30,7 +30,7 @@
     Value,
 )
 from linedeal.council import reconfiguration
-from linedeal.lab.history import Op, linearizable
+from linedeal.lab.linearizability import Operation, is_linearizable
 
 FOREVER = 1e12
 
@@ -40,11 +40,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Budget:
+class FaultBudget:
     """How many of each fault one schedule may have."""
 
     drops: int = 0
-    doubles: int = 0
+    duplicates: int = 0
     crashes: int = 0
     timers: int = 0
     rollbacks: int = 0  # crashes after which an older copy of the directory comes back
@@ -56,7 +56,7 @@
 
     members: int
     asks: tuple[tuple[str, Request], ...]
-    budget: Budget = Budget()
+    budget: FaultBudget = FaultBudget()
     spare: tuple[str, ...] = ()  # directories of no council that run as well
 
 
@@ -64,11 +64,11 @@
     return tuple("abcdefg"[:count])
 
 
-def reader(number: int, at: str, key: str = "k") -> tuple[str, Request]:
+def read_request(number: int, at: str, key: str = "k") -> tuple[str, Request]:
     return at, Request(number, f"c{number}", key, None, FOREVER)
 
 
-def writer(
+def write_request(
     number: int, at: str, expect: int = 0, key: str = "k", id: str = "", body: bytes = b""
 ) -> tuple[str, Request]:
     return at, Request(
@@ -76,9 +76,9 @@
     )
 
 
-def replacing(number: int, at: str, members: int, old: str, new: str) -> tuple[str, Request]:
+def replacement_request(number: int, at: str, members: int, old: str, new: str) -> tuple[str, Request]:
     roster = Roster(1, tuple(Identity(name, 1) for name in names(members)))
-    return writer(
+    return write_request(
         number,
         at,
         0,
@@ -99,7 +99,7 @@
     history: tuple[tuple[int, Response | None], ...] = ()  # ask number; None: it was asked
     votes: dict[tuple[str, Ballot], tuple[Value, frozenset[str]]] = field(default_factory=dict)
     rosters: dict[int, Roster] = field(default_factory=dict)
-    budget: Budget = Budget()
+    budget: FaultBudget = FaultBudget()
 
     def copy(self, changes: str = "") -> "World":
         """Members are copied only where they are about to change."""
@@ -137,7 +137,7 @@
         )
 
 
-def half() -> float:
+def constant_jitter() -> float:
     return 0.5
 
 
@@ -151,14 +151,16 @@
     for place, who in enumerate(roster.members):
         seen = tuple(mark for mark in marks if mark.name != who.name)
         disk = {"roster": roster, "life": 0, "writes": 0, "seen": seen}
-        member = Member(who, "lapa", names(case.members), disk, 100 + place, half)
+        member = Member(who, "lapa", names(case.members), disk, 100 + place, constant_jitter)
         member.begin(0.0)
         member.admitted = True
         made.members[who.name] = member
         made.disks[who.name] = {**disk, "life": 1, "writes": 1}
         made.starts[who.name] = 1
     for place, name in enumerate(case.spare):
-        made.members[name] = Member(Identity(name, 1), "lapa", names(case.members), {}, 200 + place, half)
+        made.members[name] = Member(
+            Identity(name, 1), "lapa", names(case.members), {}, 200 + place, constant_jitter
+        )
         made.disks[name] = {}
         made.starts[name] = 1
         carry_out(made, name, made.members[name].begin(0.0), None)
@@ -176,7 +178,7 @@
             yield "deliver", place, None
             if budget.drops:
                 yield "drop", place, None
-            if budget.doubles:
+            if budget.duplicates:
                 yield "double", place, None
             if budget.crashes:  # cut off before what it keeps next is on disk
                 yield "deliver", place, 0
@@ -201,7 +203,7 @@
         at = before.copy(to if kind == "deliver" else "")
         if kind == "double":
             at.packets = (*at.packets, at.packets[what])
-            at.budget = replace(at.budget, doubles=at.budget.doubles - 1)
+            at.budget = replace(at.budget, duplicates=at.budget.duplicates - 1)
             return at
         at.packets = at.packets[:what] + at.packets[what + 1 :]
         if kind == "drop":
@@ -242,7 +244,9 @@
 def restart(at: World, name: str) -> None:
     at.starts[name] += 1
     start = 1000 * at.starts[name] + ord(name[0])
-    at.members[name] = Member(Identity(name, 1), "lapa", names(at.case.members), at.disks[name], start, half)
+    at.members[name] = Member(
+        Identity(name, 1), "lapa", names(at.case.members), at.disks[name], start, constant_jitter
+    )
     carry_out(at, name, at.members[name].begin(0.0), None)
     unwind(at.members[name])
 
@@ -303,15 +307,15 @@
 
 def judge_history(at: World, key: str) -> None:
     asks = {ask.number: ask for _, ask in at.case.asks if ask.key == key}
-    ops: dict[int, Op] = {}
+    ops: dict[int, Operation] = {}
     for place, (number, answer) in enumerate(at.history):
         if number in asks and answer is None:
-            ops[number] = Op(asks[number].change, place)
+            ops[number] = Operation(asks[number].change, place)
         elif number in asks:
             if ops[number].ended is not None:
                 raise Broken(f"ask {number} is answered twice")
             ops[number] = replace(ops[number], ended=place, outcome=answer.outcome, value=answer.value)
-    if not linearizable(tuple(ops.values())):
+    if not is_linearizable(tuple(ops.values())):
         raise Broken(f"{key}: answers of no one register: {list(ops.values())}")
 
 
@@ -320,17 +324,17 @@
 
 @dataclass(slots=True)
 class Found:
-    """What a search saw. `states` it stood in, all different in `exhaust`; `whole` if nothing was left to try."""
+    """What a search saw. `states` it stood in, all different in `explore_all`; `whole` if nothing was left to try."""
 
     states: int = 0
     seconds: float = 0.0
-    whole: bool = True
-    broken: str = ""
+    complete: bool = True
+    violation: str = ""
     schedule: tuple = ()
     answered: int = 0  # schedules at whose end all asks had an answer
 
 
-def exhaust(case: Case, most: int) -> Found:
+def explore_all(case: Case, most: int) -> Found:
     """Depth first through all schedules of the case, each state once, at most this many states."""
     began, found = time.perf_counter(), Found()
     start = world(case)
@@ -344,13 +348,13 @@
         try:
             then = after(at, move)
         except Broken as broken:
-            found.broken, found.schedule = str(broken), (*[done for *_, done in stack[1:]], move)
+            found.violation, found.schedule = str(broken), (*[done for *_, done in stack[1:]], move)
             break
         state = then.frozen()
         if state in met:
             continue
         if len(met) >= most:
-            found.whole = False
+            found.complete = False
             break
         met.add(state)
         found.answered += len(then.history) == 2 * len(case.asks)
@@ -362,7 +366,7 @@
 WEIGHT = {"deliver": 12, "ask": 6, "drop": 1, "double": 1, "timer": 2, "crash": 1, "rollback": 1}
 
 
-def wander(case: Case, seed: int, steps: int = 120) -> Found:
+def explore_random(case: Case, seed: int, steps: int = 120) -> Found:
     """One random schedule."""
     chance, began, found = random.Random(seed), time.perf_counter(), Found()
     at, schedule = world(case), []
@@ -376,7 +380,7 @@
         try:
             at = after(at, move)
         except Broken as broken:
-            found.broken = str(broken)
+            found.violation = str(broken)
             break
     found.answered = int(len(at.history) == 2 * len(case.asks))
     found.schedule, found.seconds = tuple(schedule), time.perf_counter() - began
--- a/linedeal/lab/faulty.py
+++ b/linedeal/lab/mutants.py
@@ -13,35 +13,54 @@
 from linedeal.council.member import Member
 from linedeal.council.records import Outcome, Roster, Send
 from linedeal.council.rounds import RoundResult
-from linedeal.lab.explore import Budget, Case, Found, reader, replacing, wander, writer
+from linedeal.lab.model_checker import (
+    FaultBudget,
+    Case,
+    Found,
+    read_request,
+    replacement_request,
+    explore_random,
+    write_request,
+)
 
-TWO_WRITE = (writer(1, "a"), writer(2, "b"), reader(3, "c"), writer(4, "c", 1), reader(5, "a"))
-CALM = Case(3, TWO_WRITE, Budget(drops=4, doubles=2, timers=8))
-LOSSY = Case(3, TWO_WRITE, Budget(drops=3, doubles=3, crashes=3, timers=8))
-COPIED = Case(3, TWO_WRITE, Budget(drops=3, doubles=2, crashes=1, timers=8, rollbacks=2))
-MOVING = Case(
+TWO_WRITERS = (
+    write_request(1, "a"),
+    write_request(2, "b"),
+    read_request(3, "c"),
+    write_request(4, "c", 1),
+    read_request(5, "a"),
+)
+CALM = Case(3, TWO_WRITERS, FaultBudget(drops=4, duplicates=2, timers=8))
+LOSSY = Case(3, TWO_WRITERS, FaultBudget(drops=3, duplicates=3, crashes=3, timers=8))
+STALE_COPIES = Case(3, TWO_WRITERS, FaultBudget(drops=3, duplicates=2, crashes=1, timers=8, rollbacks=2))
+RECONFIGURATION = Case(
     3,
     (
-        writer(1, "a"),
-        writer(2, "b"),
-        reader(3, "c"),
-        replacing(6, "b", 3, "c", "d"),
-        writer(4, "b", 1),
-        reader(5, "a"),
-        reader(7, "b"),
+        write_request(1, "a"),
+        write_request(2, "b"),
+        read_request(3, "c"),
+        replacement_request(6, "b", 3, "c", "d"),
+        write_request(4, "b", 1),
+        read_request(5, "a"),
+        read_request(7, "b"),
     ),
-    Budget(drops=4, doubles=1, crashes=1, timers=25),
+    FaultBudget(drops=4, duplicates=1, crashes=1, timers=25),
     ("d",),
 )
 ASKED_TWICE = Case(
     3,
-    (writer(1, "a", id="w"), writer(2, "b", id="w"), writer(3, "c", 1), reader(4, "a")),
-    Budget(drops=3, timers=8),
+    (
+        write_request(1, "a", id="w"),
+        write_request(2, "b", id="w"),
+        write_request(3, "c", 1),
+        read_request(4, "a"),
+    ),
+    FaultBudget(drops=3, timers=8),
 )
 
 
 @dataclass(frozen=True, slots=True)
-class Deliberate:
+class Mutant:
     """A guard taken out. `where.what` is put in place of the true one while it is played."""
 
     name: str
@@ -118,42 +137,44 @@
     slots.apply_change,
 )
 
-DELIBERATE = (
-    Deliberate("a promise is forgotten at once", CALM, slots, "prepare", lambda slot, ballot: slot),
-    Deliberate("a promise is not kept on disk", LOSSY, Member, "persist", forget_promises),
-    Deliberate("a vote is not kept on disk", LOSSY, Member, "persist", forget_votes),
-    Deliberate("a vote is told before it is on disk", LOSSY, Member, "take_effects", tell_first),
-    Deliberate("a majority is one too few", CALM, Roster, "majority", property(own_majority)),
-    Deliberate("the oldest vote is carried on, not the newest", CALM, slots, "highest_vote", oldest),
-    Deliberate("one member's replies count twice", LOSSY, rounds, "handle_reply", count_twice),
-    Deliberate("a member accepts below its promise", CALM, slots, "accept", any_ballot),
-    Deliberate(
+MUTANTS = (
+    Mutant("a promise is forgotten at once", CALM, slots, "prepare", lambda slot, ballot: slot),
+    Mutant("a promise is not kept on disk", LOSSY, Member, "persist", forget_promises),
+    Mutant("a vote is not kept on disk", LOSSY, Member, "persist", forget_votes),
+    Mutant("a vote is told before it is on disk", LOSSY, Member, "take_effects", tell_first),
+    Mutant("a majority is one too few", CALM, Roster, "majority", property(own_majority)),
+    Mutant("the oldest vote is carried on, not the newest", CALM, slots, "highest_vote", oldest),
+    Mutant("one member's replies count twice", LOSSY, rounds, "handle_reply", count_twice),
+    Mutant("a member accepts below its promise", CALM, slots, "accept", any_ballot),
+    Mutant(
         "a look answers whatever is newest",
         CALM,
         slots,
         "chosen_value",
         lambda votes, epoch: slots.highest_vote(votes)[1],
     ),
-    Deliberate(
+    Mutant(
         "a read does not write back",
         CALM,
         rounds,
         "FINISH_PHASE",
         {**rounds.FINISH_PHASE, rounds.Phase.PREPARE: read_unchosen},
     ),
-    Deliberate("changes are not remembered by their ids", ASKED_TWICE, slots, "apply_change", no_memory),
-    Deliberate("a member votes on in the epoch it sealed", MOVING, Member, "seal", never_seal),
-    Deliberate("a move takes over one member's votes", MOVING, reconfiguration, "merge_states", merge_one),
-    Deliberate(
+    Mutant("changes are not remembered by their ids", ASKED_TWICE, slots, "apply_change", no_memory),
+    Mutant("a member votes on in the epoch it sealed", RECONFIGURATION, Member, "seal", never_seal),
+    Mutant(
+        "a move takes over one member's votes", RECONFIGURATION, reconfiguration, "merge_states", merge_one
+    ),
+    Mutant(
         "an older copy is not told from the directory",
-        COPIED,
+        STALE_COPIES,
         staleness,
         "check_freshness",
         lambda seen, mark: (staleness.Freshness.NEWER, mark),
     ),
-    Deliberate(
+    Mutant(
         "a member votes before the others know its life",
-        COPIED,
+        STALE_COPIES,
         Member,
         "may_vote",
         lambda self: self.identity in self.roster.members and not self.retired,
@@ -162,20 +183,20 @@
 
 
 @contextmanager
-def in_place(fault: Deliberate) -> Iterator[None]:
+def in_place(fault: Mutant) -> Iterator[None]:
     with mock.patch.object(fault.where, fault.what, fault.put):
         yield
 
 
-def hunt(fault: Deliberate, seeds: range, steps: int = 160) -> Found:
+def find_violation(fault: Mutant, seeds: range, steps: int = 160) -> Found:
     """Random schedules until one shows the fault; `states` and `seconds` are of all of them together."""
     found = Found()
     with in_place(fault):
         for seed in seeds:
-            one = wander(fault.case, seed, steps)
+            one = explore_random(fault.case, seed, steps)
             found.states += one.states
             found.seconds += one.seconds
-            if one.broken:
-                found.broken, found.schedule = one.broken, one.schedule
+            if one.violation:
+                found.violation, found.schedule = one.violation, one.schedule
                 break
     return found
--- a/linedeal/lab/rig.py
+++ b/linedeal/lab/rig.py
@@ -17,7 +17,7 @@
 from linedeal.audit import Breach
 from linedeal.lab.day import ControllerSpec, Day, HostSpec
 from linedeal.lab.director import Director
-from linedeal.lab.evenness import Arrival, HostAt
+from linedeal.lab.balance_metrics import Arrival, HostAt
 from linedeal.lab.load import Tally
 from linedeal.lab.processes import ProcessCluster
 from linedeal.net import parse_address
--- a/tests/test_evenness.py
+++ b/tests/test_balance.py
@@ -7,10 +7,10 @@
 import anyio
 import pytest
 
-from linedeal.lab import evenness, evenrun
+from linedeal.lab import balance_metrics, balance_run
 from linedeal.lab.baselines import POLICIES
-from linedeal.lab.evenday import TROUBLES, even_day
-from linedeal.lab.evenness import Arrival, HostAt, herding, idle_beside_full, of_day, spread
+from linedeal.lab.balance_day import TROUBLES, even_day
+from linedeal.lab.balance_metrics import Arrival, HostAt, herding, idle_beside_full, of_day, spread
 from linedeal.lab.rig import Rig, added, play_on_rig
 
 
@@ -30,7 +30,7 @@
 
 def test_moments_and_kinds_are_kept_apart():
     both = [*samples(0.2, 0.2), *samples(0.9, 0.9, kind="press"), *samples(0.0, 0.4, t=0.1)]
-    found = evenness.over_time(both)
+    found = balance_metrics.over_time(both)
     assert [(t, kind, round(at.most_over_mean, 2)) for t, kind, at in found] == [
         (0.0, "press", 1.0),
         (0.0, "std", 1.0),
@@ -60,8 +60,8 @@
     day = [*samples(0.0, 1.0, t=0.0), *samples(0.5, 0.5, t=5.0)]
     (kind,) = of_day(day, arrivals(["h0", "h1"] * 10, every=1.0), 1.0, since=4.0, until=9.0)
     assert (kind.most_over_mean, kind.launches, kind.hosts) == (1.0, 6, 2)
-    assert evenness.noise([2.0, 2.0]) == (2.0, 0.0) and math.isclose(
-        evenness.noise([1.0, 2.0, 3.0])[1], 1 / math.sqrt(3)
+    assert balance_metrics.noise([2.0, 2.0]) == (2.0, 0.0) and math.isclose(
+        balance_metrics.noise([1.0, 2.0, 3.0])[1], 1 / math.sqrt(3)
     )
 
 
@@ -75,9 +75,9 @@
     """The guard against herding taken out: all controllers take the host with most room by the list."""
     found = {}
     for policy in ("linedeal", "most-room", "bound"):
-        plan = evenrun.Plan(16, 16, 24.0, 0.7, "late list", policy, 2)
-        day = evenrun.in_memory(plan, tmp_path / policy)
-        (found[policy],) = evenrun.measured(day, plan)
+        plan = balance_run.RunConfig(16, 16, 24.0, 0.7, "late list", policy, 2)
+        day = balance_run.run_in_memory(plan, tmp_path / policy)
+        (found[policy],) = balance_run.measure(day, plan)
         assert sum(day.tally.asked.values()) > 150 and not day.breaches
     assert found["linedeal"].herding.index < 0.5 * found["most-room"].herding.index
     assert found["linedeal"].turned_away < 0.5 * found["most-room"].turned_away
@@ -85,8 +85,8 @@
 
 
 def test_the_same_day_in_memory_gives_the_same_figures(tmp_path):
-    plan = evenrun.Plan(4, 6, 8.0, 0.7, "calm", "two-choices", 3)
-    one, two = (evenrun.in_memory(plan, tmp_path / name) for name in "ab")
+    plan = balance_run.RunConfig(4, 6, 8.0, 0.7, "calm", "two-choices", 3)
+    one, two = (balance_run.run_in_memory(plan, tmp_path / name) for name in "ab")
     assert one.arrivals == two.arrivals and one.samples == two.samples and one.value == two.value
 
 
@@ -157,10 +157,10 @@
 
 
 def test_a_plot_of_two_policies_is_written(tmp_path):
-    from linedeal.lab.heat import draw
+    from linedeal.lab.load_plot import plot_load
 
     day = [one for t in range(20) for one in samples(0.1, t / 20, t=t / 10)]
-    draw(tmp_path / "load.png", {"a": (day, arrivals(["h0"] * 5)), "b": (day, [])}, [(1.0, "burst")])
+    plot_load(tmp_path / "load.png", {"a": (day, arrivals(["h0"] * 5)), "b": (day, [])}, [(1.0, "burst")])
     assert (tmp_path / "load.png").stat().st_size > 5000
 
 
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -30,7 +30,7 @@
 from linedeal.fleet.hosts import HostNow, HostsNow
 from linedeal.fleet.operator import HostSelection, plan_campaign
 from linedeal.lab.record import Recorder
-from linedeal.lab.releases import Trouble, played
+from linedeal.lab.campaign_simulation import FaultModel, run_simulations
 from linedeal.protocol import encode, pb
 from linedeal.settings.cluster import ConfigError, parse_cluster
 
@@ -324,36 +324,46 @@
 
 
 def test_through_owners_that_die_at_every_step_campaigns_end_within_their_bounds():
-    courses = played(range(30))
-    assert [course.faults for course in courses] == [[]] * len(courses)
+    courses = run_simulations(range(30))
+    assert [course.violations for course in courses] == [[]] * len(courses)
     ended = [course for course in courses if course.progress.ended == "done"]
     assert len(ended) >= 28, [course.progress for course in courses if not course.progress.ended]
-    assert sum(course.owners for course in courses) > 500 and sum(course.refused for course in courses) > 100
-    assert max(course.most for course in courses) == 3
-    prompt = played(range(20), trouble=Trouble(late=0.5, list_late=1.0, deaths=0.02, down=60.0))
-    assert [course.faults for course in prompt] == [[]] * len(prompt)
+    assert (
+        sum(course.owner_count for course in courses) > 500
+        and sum(course.rejected for course in courses) > 100
+    )
+    assert max(course.max_out for course in courses) == 3
+    prompt = run_simulations(
+        range(20),
+        fault_model=FaultModel(max_delay=0.5, list_delay=1.0, host_failure_rate=0.02, max_downtime=60.0),
+    )
+    assert [course.violations for course in prompt] == [[]] * len(prompt)
 
 
 def test_a_death_at_each_single_step_in_turn_is_gone_on_from():
     """No chance but the weather's: the owner dies at its n-th step, for every n."""
-    from linedeal.lab.releases import Releases
+    from linedeal.lab.campaign_simulation import CampaignSimulation
 
-    class DiesAt(Releases):
+    class DiesAt(CampaignSimulation):
         steps, at = 0, 0
 
-        def dies(self, owner, token, orders):
+        def maybe_fail_owner(self, owner, token, orders):
             self.steps += 1
-            self.trouble = replace(self.trouble, dies=1.0 if self.steps == self.at else 0.0)
-            return super().dies(owner, token, orders)
+            self.fault_model = replace(
+                self.fault_model, owner_failure_rate=1.0 if self.steps == self.at else 0.0
+            )
+            return super().maybe_fail_owner(owner, token, orders)
 
-    calm = Trouble(deaths=0.0, hands=0.0, lost=0.0, late=0.4, wakes=1.0)
-    clean = DiesAt(5, hosts=4, trouble=calm)
+    calm = FaultModel(
+        host_failure_rate=0.0, manual_drain_rate=0.0, loss_rate=0.0, max_delay=0.4, frozen_share=1.0
+    )
+    clean = DiesAt(5, hosts=4, fault_model=calm)
     assert clean.play(900.0).progress.ended == "done"
     for step in range(1, clean.steps + 1):
-        releases = DiesAt(5, hosts=4, trouble=calm)
+        releases = DiesAt(5, hosts=4, fault_model=calm)
         releases.at = step
         course = releases.play(900.0)
-        assert (course.faults, course.progress.ended, course.owners) == ([], "done", 2), step
+        assert (course.violations, course.progress.ended, course.owner_count) == ([], "done", 2), step
     assert clean.steps > 100
 
 
@@ -410,11 +420,11 @@
 @pytest.mark.parametrize("where, what, put", WITHOUT.values(), ids=WITHOUT)
 def test_each_guard_taken_out_is_seen(monkeypatch, where, what, put):
     monkeypatch.setattr(where, what, put)
-    prompt = Trouble(late=0.5, list_late=1.0, deaths=0.02, down=60.0)
+    prompt = FaultModel(max_delay=0.5, list_delay=1.0, host_failure_rate=0.02, max_downtime=60.0)
     assert any(
-        course.faults
-        for trouble in (Trouble(), prompt)
-        for course in played(range(40), 600.0, trouble=trouble)
+        course.violations
+        for trouble in (FaultModel(), prompt)
+        for course in run_simulations(range(40), 600.0, fault_model=trouble)
     )
 
 
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -21,9 +21,18 @@
     Value,
 )
 from linedeal.council.slots import apply_change
-from linedeal.lab import faulty
-from linedeal.lab.explore import Budget, Case, exhaust, half, reader, replacing, wander, writer
-from linedeal.lab.history import Op, linearizable
+from linedeal.lab import mutants
+from linedeal.lab.linearizability import Operation, is_linearizable
+from linedeal.lab.model_checker import (
+    Case,
+    FaultBudget,
+    constant_jitter,
+    explore_all,
+    explore_random,
+    read_request,
+    replacement_request,
+    write_request,
+)
 
 
 class Cluster:
@@ -51,7 +60,7 @@
             self.founding_names,
             self.disks[name],
             self.starts,
-            half,
+            constant_jitter,
         )
         self.carry_out(name, self.members[name].begin(self.now))
 
@@ -264,7 +273,7 @@
 def test_packets_from_another_cluster_are_ignored():
     cluster = Cluster()
     cluster.wait(2)
-    stranger = Member(Identity("b", 1), "other", ("a", "b", "c"), {}, 9, half)
+    stranger = Member(Identity("b", 1), "other", ("a", "b", "c"), {}, 9, constant_jitter)
     packets = [effect.packet for effect in stranger.begin(0.0) if type(effect) is Send]
     assert packets and [cluster.members["a"].receive(packet, cluster.now) for packet in packets] == [
         []
@@ -323,38 +332,53 @@
 def test_histories_that_are_not_linearizable_are_found():
     one, two = Change("a", 0, b"1"), Change("b", 0, b"2")
     made = Value(1, b"1", ("a",))
-    assert not linearizable(
-        (Op(one, 0, 2, Outcome.DONE, made), Op(two, 1, 3, Outcome.DONE, Value(1, b"2", ("b",))))
+    assert not is_linearizable(
+        (Operation(one, 0, 2, Outcome.DONE, made), Operation(two, 1, 3, Outcome.DONE, Value(1, b"2", ("b",))))
     )
-    assert linearizable((Op(one, 0), Op(None, 1, 2, Outcome.READ, made)))
-    assert not linearizable(
-        (Op(one, 0), Op(None, 1, 2, Outcome.READ, made), Op(None, 3, 4, Outcome.READ, Value()))
+    assert is_linearizable((Operation(one, 0), Operation(None, 1, 2, Outcome.READ, made)))
+    assert not is_linearizable(
+        (
+            Operation(one, 0),
+            Operation(None, 1, 2, Outcome.READ, made),
+            Operation(None, 3, 4, Outcome.READ, Value()),
+        )
     )
-    assert not linearizable((Op(one, 0, 1, Outcome.CONFLICT, made),))
+    assert not is_linearizable((Operation(one, 0, 1, Outcome.CONFLICT, made),))
 
 
 EXHAUSTIVE_CASES = {
-    "one member": Case(1, (writer(1, "a"), reader(2, "a"), writer(3, "a", 1)), Budget(crashes=1)),
-    "two members, write and read, one loss": Case(2, (writer(1, "a"), reader(2, "b")), Budget(drops=1)),
-    "two members, one duplicate": Case(2, (writer(1, "a"), reader(2, "b")), Budget(doubles=1)),
+    "one member": Case(
+        1, (write_request(1, "a"), read_request(2, "a"), write_request(3, "a", 1)), FaultBudget(crashes=1)
+    ),
+    "two members, write and read, one loss": Case(
+        2, (write_request(1, "a"), read_request(2, "b")), FaultBudget(drops=1)
+    ),
+    "two members, one duplicate": Case(
+        2, (write_request(1, "a"), read_request(2, "b")), FaultBudget(duplicates=1)
+    ),
 }
 
 
 @pytest.mark.parametrize("case", EXHAUSTIVE_CASES.values(), ids=EXHAUSTIVE_CASES)
 def test_no_schedule_of_a_small_case_breaks_a_rule(case):
-    found = exhaust(case, 30000)
-    assert found.whole and not found.broken and found.answered, found
+    found = explore_all(case, 30000)
+    assert found.complete and not found.violation and found.answered, found
 
 
 RANDOM_CASES = {
-    "losses, duplicates, crashes": faulty.LOSSY,
-    "older copies": faulty.COPIED,
-    "a reconfiguration": faulty.MOVING,
-    "five members": Case(5, (*faulty.TWO_WRITE, writer(6, "e", 1)), Budget(4, 2, 2, 10)),
+    "losses, duplicates, crashes": mutants.LOSSY,
+    "older copies": mutants.STALE_COPIES,
+    "a reconfiguration": mutants.RECONFIGURATION,
+    "five members": Case(5, (*mutants.TWO_WRITERS, write_request(6, "e", 1)), FaultBudget(4, 2, 2, 10)),
     "two reconfigurations of one epoch": Case(
         3,
-        (replacing(1, "a", 3, "c", "d"), replacing(2, "b", 3, "a", "e"), writer(3, "b"), reader(4, "a")),
-        Budget(3, 1, 1, 30),
+        (
+            replacement_request(1, "a", 3, "c", "d"),
+            replacement_request(2, "b", 3, "a", "e"),
+            write_request(3, "b"),
+            read_request(4, "a"),
+        ),
+        FaultBudget(3, 1, 1, 30),
         ("d", "e"),
     ),
 }
@@ -362,11 +386,11 @@
 
 @pytest.mark.parametrize("case", RANDOM_CASES.values(), ids=RANDOM_CASES)
 def test_no_random_schedule_breaks_a_rule(case):
-    found = [wander(case, seed, 200) for seed in range(60)]
-    assert not [one.broken for one in found if one.broken]
+    found = [explore_random(case, seed, 200) for seed in range(60)]
+    assert not [one.violation for one in found if one.violation]
     assert sum(one.answered for one in found) > 2
 
 
-@pytest.mark.parametrize("fault", faulty.DELIBERATE, ids=lambda fault: fault.name)
+@pytest.mark.parametrize("fault", mutants.MUTANTS, ids=lambda fault: fault.name)
 def test_each_removed_safeguard_is_detected(fault):
-    assert faulty.hunt(fault, range(2500), 200).broken
+    assert mutants.find_violation(fault, range(2500), 200).violation
--- a/tests/test_duties.py
+++ b/tests/test_duties.py
@@ -13,8 +13,8 @@
 from linedeal.duties.duty import Duty, DutyError
 from linedeal.duties.fence import MAX_DUTIES, Fence
 from linedeal.duties.holder import Gained, Holder, HolderState, LeaseTiming, Lost, Saved
-from linedeal.lab import relay
-from linedeal.lab.relay import Relay, Weather
+from linedeal.lab import duty_simulation
+from linedeal.lab.duty_simulation import DutySimulation, FaultModel
 
 TIMING = LeaseTiming(
     lease=6.0, drift=0.05, margin=0.3, renew_interval=1.5, poll_interval=1.0, response_timeout=1.0
@@ -181,39 +181,56 @@
 # --- simulations of several controllers
 
 
-def simulate(seeds, weather=Weather(), seconds=200.0) -> list[relay.Course]:  # noqa: B008 - frozen
-    return [Relay(seed, weather=weather).play(seconds) for seed in seeds]
+def simulate(seeds, fault_model=FaultModel(), seconds=200.0) -> list[duty_simulation.SimulationResult]:  # noqa: B008 - frozen
+    return [DutySimulation(seed, fault_model=fault_model).play(seconds) for seed in seeds]
 
 
 def test_no_effect_of_a_former_owner_is_admitted_despite_freezes_partitions_losses_and_clock_drift():
     courses = simulate(range(12))
-    assert [course.faults for course in courses] == [[]] * len(courses)
+    assert [course.violations for course in courses] == [[]] * len(courses)
     assert (
-        sum(course.owners for course in courses) > 50
-        and sum(len(course.carried) for course in courses) > 3000
+        sum(course.owner_changes for course in courses) > 50
+        and sum(len(course.executed) for course in courses) > 3000
     )
-    assert sum(course.refused for course in courses) > 0, (
+    assert sum(course.rejected for course in courses) > 0, (
         "no former owner ever sent an effect: the simulation proves nothing"
     )
 
 
 def test_two_hundred_controllers_started_together_elect_one_owner():
-    calm = Weather(delay=0.05, lost=0.02, freezes=0.0, cuts=0.0, gaps=0.0, hands=0.0)
-    simulation = Relay(3, controllers=200, weather=calm)
+    calm = FaultModel(
+        max_delay=0.05,
+        loss_rate=0.02,
+        freeze_rate=0.0,
+        partition_rate=0.0,
+        send_freeze_share=0.0,
+        handover_rate=0.0,
+    )
+    simulation = DutySimulation(3, controllers=200, fault_model=calm)
     requests = []
     simulation.change, change = (
         lambda name, request: (requests.append(request), change(name, request)),
         simulation.change,
     )
     course = simulation.play(20.0)
-    assert not course.faults and course.owners == 1
+    assert not course.violations and course.owner_changes == 1
     changes = sum(request.change is not None for request in requests)
     assert changes < 100, f"{changes} changes requested: a controller that sees an owner requests none"
 
 
 def test_fence_holds_even_if_clocks_drift_more_than_configured_and_two_controllers_act():
-    courses = simulate(range(12), Weather(drift=0.5, delay=0.05, lost=0.0, freezes=0.0, gaps=0.0, cuts=0.1))
-    assert not [fault for course in courses for fault in course.faults if "token" in fault]
+    courses = simulate(
+        range(12),
+        FaultModel(
+            max_drift=0.5,
+            max_delay=0.05,
+            loss_rate=0.0,
+            freeze_rate=0.0,
+            send_freeze_share=0.0,
+            partition_rate=0.1,
+        ),
+    )
+    assert not [fault for course in courses for fault in course.violations if "token" in fault]
 
 
 def acquire_with_the_same_token(duty, who, lease, expired):
@@ -225,7 +242,7 @@
 
 
 original_acquire = duties.acquire
-LATE = Weather(drift=0.05, delay=0.9, lost=0.2)
+LATE = FaultModel(max_drift=0.05, max_delay=0.9, loss_rate=0.2)
 MUTANTS = {
     "a token that does not rise": (duties, "acquire", acquire_with_the_same_token),
     "a fence that admits everything": (Fence, "admit", lambda self, duty, token: self),
@@ -252,4 +269,4 @@
 @pytest.mark.parametrize("target, name, replacement", MUTANTS.values(), ids=MUTANTS)
 def test_each_removed_safeguard_is_detected(monkeypatch, target, name, replacement):
     monkeypatch.setattr(target, name, replacement)
-    assert any(course.faults for course in simulate(range(25), LATE, 120.0))
+    assert any(course.violations for course in simulate(range(25), LATE, 120.0))
