--- a/linedeal/lab/__init__.py
+++ b/linedeal/lab/__init__.py
@@ -1,1 +1,4 @@
-"""The laboratory: days that are played against the real controller, in processes or in memory, and recorded."""
+"""Test clusters, load and fault injection: plays days against the real controller, in processes or in memory.
+
+The traffic of a day is recorded, for the audit to judge.
+"""
--- a/linedeal/lab/clocks.py
+++ b/linedeal/lab/clocks.py
@@ -1,34 +1,40 @@
-"""A clock that runs fast or slow, or jumps, for one process of a day: an event loop that reckons by it. Timers, time-outs
-and leases of that process all follow; nothing else on the machine does."""
+"""An event loop whose clock runs fast or slow, or jumps: simulates a wrong clock in one process of a day.
+
+Timers, timeouts and leases of that process follow it; the system's clocks stay as they are.
+"""
 
 import asyncio
 import selectors
 
 
 class SkewedSelector(selectors.DefaultSelector):
-    """Waits as long as the loop's own clock says, in true seconds."""
+    """Converts the loop's timeouts to real seconds."""
 
-    rate = 1.0
+    rate = 1.0  # seconds of the loop's clock in a real second
 
     def select(self, timeout=None):
+        """Waits up to `timeout` seconds of the loop's clock."""
         return super().select(timeout / self.rate if timeout and timeout > 0 else timeout)
 
 
 class SkewedEventLoop(asyncio.SelectorEventLoop):
-    """`rate`: seconds of its clock in a true second. `jump` sets it forward."""
+    """An event loop with a clock of its own."""
 
     def __init__(self, rate: float):
+        """`rate`: seconds that the clock advances in a real second."""
         selector = SkewedSelector()
         selector.rate = rate
         super().__init__(selector)
-        self.rate, self.ahead, self.begun = rate, 0.0, super().time()
+        self.rate, self.offset, self.started_at = rate, 0.0, super().time()
 
     def time(self) -> float:
-        true = super().time()
-        if not hasattr(self, "begun"):  # asked while it is being made
-            return true
-        return self.begun + (true - self.begun) * self.rate + self.ahead
+        """Seconds of the skewed clock."""
+        real = super().time()
+        if not hasattr(self, "started_at"):  # called by the constructor of the base class
+            return real
+        return self.started_at + (real - self.started_at) * self.rate + self.offset
 
     def jump(self, seconds: float) -> None:
-        self.ahead += seconds
-        self.call_soon(lambda: None)  # it looks at its timers at once
+        """Sets the clock forward."""
+        self.offset += seconds
+        self.call_soon(lambda: None)  # wakes the loop, which checks its timers at once
--- a/linedeal/lab/day.py
+++ b/linedeal/lab/day.py
@@ -1,4 +1,7 @@
-"""Day files: what a day holds and what goes wrong in it, in lines that a person can write. docs/days.md has the form."""
+"""Day files: the hosts, controllers and load of a test run, and the faults injected into it.
+
+docs/days.md describes the format.
+"""
 
 from dataclasses import dataclass, fields, replace
 from pathlib import Path
@@ -10,15 +13,21 @@
 
 
 class DayFileError(Exception):
-    """`lines`: every fault of the file, each `file: line N: fault`."""
+    """A day file cannot be used. `lines` has every error of it, each as `file: line N: error`."""
 
     def __init__(self, lines: list[str]):
+        """The message is all of `lines`, one below the other."""
         super().__init__("\n".join(lines))
         self.lines = lines
 
 
 @dataclass(frozen=True, slots=True)
 class HostSpec:
+    """A stand-in host of a day. `cell`: number of its group of hosts that may fail together, such as a rack.
+
+    The field names are keys of the file that a multi-host process reads.
+    """
+
     name: str
     kind: str
     zone: str
@@ -28,27 +37,29 @@
 
 @dataclass(frozen=True, slots=True)
 class ControllerSpec:
+    """A controller of a day."""
+
     name: str
     zone: str
-    clock: float = 1.0  # seconds of its clock in a true second
+    clock: float = 1.0  # rate: seconds that its clock advances in a real second
 
 
 @dataclass(frozen=True, slots=True)
 class Stream:
-    """Jobs of one offering."""
+    """The load of one offering: a Poisson stream of jobs. Sizes are drawn evenly from the given ranges."""
 
     offering: str
-    rate: float  # a second
+    rate: float  # jobs a second
     cores: tuple[float, float]
-    memory: tuple[float, float]
-    services: int
+    memory: tuple[float, float]  # in the unit of the cluster file
+    services: int  # number of services that the jobs are spread over
     customers: tuple[str, ...]
-    sessions: bool = False  # owners ask in sessions, which outlive links and controllers
+    sessions: bool = False  # submitted in sessions, which outlive links and controllers
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """Something done from outside at `at`; undone at `until` where that means anything."""
+    """A fault or command applied at `at` and, if `until` is set, reverted then. Seconds from the start."""
 
     at: float
     until: float | None
@@ -59,6 +70,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Day:
+    """A checked day file with its cluster file. `length` is the duration of the load, in seconds."""
+
     name: str
     cluster_path: str
     cluster: Cluster
@@ -70,7 +83,7 @@
     orders: tuple[Order, ...]
 
 
-# verb: what it acts on, how many words follow, whether it lasts
+# verb: what it acts on; number of arguments, -1: checked separately; whether it ends with `for SECONDS`
 VERBS = {
     "kill": ("any", 0, "may"),
     "stop": ("any", 0, "must"),
@@ -97,12 +110,12 @@
     "delay": ("", 1, "must"),
     "jump": ("controller", 1, "no"),
 }
-WISHES = ("pause", "resume", "abort")
+CAMPAIGN_CHANGES = ("pause", "resume", "abort")
 DUTIES = ("census", "campaign")
 
 
 def read_day(path: str | Path) -> Day:
-    """Raises DayFileError or ConfigError with all faults."""
+    """Reads a day file and its cluster file. Raises DayFileError with all errors of both."""
     path = Path(path)
     try:
         text = path.read_text(encoding="utf-8")
@@ -112,43 +125,52 @@
 
 
 def parse_day(text: str, name: str, base: Path = Path(".")) -> Day:
-    return Parser(text, name, base).day()
+    """Parses the text of a day file. `name` is for messages; the cluster file's path is relative to `base`.
+
+    Raises DayFileError with all errors of both files.
+    """
+    return Parser(text, name, base).parse()
 
 
 class Parser:
+    """Parses one day file and collects its errors, so that all are reported together."""
+
     def __init__(self, text: str, name: str, base: Path):
+        """Takes the same arguments as `parse_day`."""
         self.lines, self.name, self.base = text.splitlines(), name, base
-        self.faults: list[str] = []
+        self.errors: list[str] = []
         self.seed, self.length, self.cluster_path = 1, 60.0, ""
-        self.habits: dict[str, object] = {}
+        self.behavior: dict[str, object] = {}
         self.controllers: list[ControllerSpec] = []
         self.hosts: list[HostSpec] = []
         self.streams: list[Stream] = []
         self.orders: list[tuple[int, list[str]]] = []
 
-    def day(self) -> Day:
+    def parse(self) -> Day:
+        """Returns the day; raises DayFileError if there was any error."""
         for number, line in enumerate(self.lines, 1):
             words = line.split("#")[0].split()
             if words:
-                self.guard(number, lambda: self.line(number, words))
+                # the lambda is called at once, before the loop variables change
+                self.collect_errors(number, lambda: self.parse_line(number, words))  # noqa: B023
         cluster = None
         try:
             if not self.cluster_path:
-                self.faults.append(f"{self.name}: no line names a cluster")
+                self.errors.append(f"{self.name}: no line names a cluster")
             else:
                 cluster = read_cluster(self.base / self.cluster_path)
         except ConfigError as error:
-            self.faults += error.lines
+            self.errors += error.lines
         orders = []
         for number, words in self.orders:
-            self.guard(number, lambda: orders.append(self.order(words)))
+            self.collect_errors(number, lambda: orders.append(self.parse_order(words)))  # noqa: B023
         for what, found in (("controllers", self.controllers), ("hosts", self.hosts), ("load", self.streams)):
             if not found:
-                self.faults.append(f"{self.name}: no line for {what}")
+                self.errors.append(f"{self.name}: no line for {what}")
         if cluster is not None:
-            self.check(cluster)
-        if self.faults:
-            raise DayFileError(self.faults)
+            self.check_cluster(cluster)
+        if self.errors:
+            raise DayFileError(self.errors)
         return Day(
             Path(self.name).stem,
             str(self.base / self.cluster_path),
@@ -161,14 +183,19 @@
             tuple(sorted(orders, key=lambda order: order.at)),
         )
 
-    def guard(self, number, call) -> None:
+    def collect_errors(self, number, call) -> None:
+        """Calls `call` and turns its ValueError or IndexError into an error of that line."""
         try:
             call()
         except (ValueError, IndexError) as error:
-            said = "too few words" if isinstance(error, IndexError) else str(error)
-            self.faults.append(f"{self.name}: line {number}: {said}")
+            message = "too few words" if isinstance(error, IndexError) else str(error)
+            self.errors.append(f"{self.name}: line {number}: {message}")
 
-    def line(self, number, words) -> None:
+    def parse_line(self, number, words) -> None:
+        """Handles one line. `at` lines are parsed at the end, as they may name hosts of later lines.
+
+        Raises ValueError, IndexError.
+        """
         name, rest = words[0], words[1:]
         if name == "cluster":
             self.cluster_path = rest[0]
@@ -177,86 +204,90 @@
         elif name == "length":
             self.length = float(rest[0])
         elif name == "habit":
-            self.habits.update(habit(word) for word in rest)
+            self.behavior.update(parse_habit(word) for word in rest)
         elif name == "controllers":
-            zones = after(rest, "zones") or ["a"]
+            zones = words_after(rest, "zones") or ["a"]
             self.controllers += [
                 ControllerSpec(f"c{i + 1}", zones[i % len(zones)]) for i in range(int(rest[0]))
             ]
         elif name == "hosts":
-            zones, own = after(rest, "zones") or ["a"], dict(habit(word) for word in rest if "=" in word)
-            cell = int((after(rest, "cells") or ["4"])[0])
+            zones, overrides = (
+                words_after(rest, "zones") or ["a"],
+                dict(parse_habit(word) for word in rest if "=" in word),
+            )
+            cell = int((words_after(rest, "cells") or ["4"])[0])
             for _ in range(int(rest[0])):
                 i = len(self.hosts)
                 self.hosts.append(
                     HostSpec(
                         f"h{i + 1:02}",
-                        after(rest, "kind")[0],
+                        words_after(rest, "kind")[0],
                         zones[i % len(zones)],
                         i // cell,
-                        HostBehavior(**{**self.habits, **own}),
+                        HostBehavior(**{**self.behavior, **overrides}),
                     )
                 )
         elif name == "clock":
             rate = float(rest[1])
             if not 0.5 <= rate <= 2.0:
-                raise ValueError(f"a clock's rate of {rate:g}, 0.5 to 2 may be")
-            slow = self.names(rest[0])
+                raise ValueError(f"a clock rate of {rate:g} is not within 0.5 to 2")
+            selected = self.resolve_names(rest[0])
             self.controllers = [
-                replace(spec, clock=rate) if spec.name in slow else spec for spec in self.controllers
+                replace(spec, clock=rate) if spec.name in selected else spec for spec in self.controllers
             ]
         elif name == "load":
             sessions = "sessions" in rest[2:]
-            figures = dict(word.split("=") for word in rest[2:] if word != "sessions")
+            options = dict(word.split("=") for word in rest[2:] if word != "sessions")
             self.streams.append(
                 Stream(
                     rest[0],
                     float(rest[1]),
-                    span(figures.pop("cores", "1-2")),
-                    span(figures.pop("memory", "1-4")),
-                    int(figures.pop("services", "4")),
-                    tuple(figures.pop("customers", "").split(",")),
+                    parse_range(options.pop("cores", "1-2")),
+                    parse_range(options.pop("memory", "1-4")),
+                    int(options.pop("services", "4")),
+                    tuple(options.pop("customers", "").split(",")),
                     sessions,
                 )
             )
-            if figures:
-                raise ValueError(f"unknown figure {next(iter(figures))}")
+            if options:
+                raise ValueError(f"unknown figure {next(iter(options))}")
         elif name == "at":
             self.orders.append((number, words))
         else:
             raise ValueError(f"unknown word {name}")
 
-    def order(self, words) -> Order:
+    def parse_order(self, words) -> Order:
+        """Parses `at TIME VERB [WHO] [ARGUMENTS] [for SECONDS]`. Raises ValueError, IndexError."""
         at, verb, rest = float(words[1]), words[2], words[3:]
         if verb not in VERBS:
             raise ValueError(f"unknown verb {verb}")
-        on, count, lasts = VERBS[verb]
+        target, argument_count, duration = VERBS[verb]
         until = None
         if len(rest) > 1 and rest[-2] == "for":
             until, rest = at + float(rest[-1]), rest[:-2]
-        if lasts == "must" and until is None:
+        if duration == "must" and until is None:
             raise ValueError(f"{verb} needs: for SECONDS")
-        if lasts == "no" and until is not None:
+        if duration == "no" and until is not None:
             raise ValueError(f"{verb} takes no time")
         who: tuple[str, ...] = ()
-        if on and verb != "cut":
-            who, rest = self.names(rest[0]), rest[1:]
-            if on == "controller":
+        if target and verb != "cut":
+            who, rest = self.resolve_names(rest[0]), rest[1:]
+            if target == "controller":
                 who = tuple(name for name in who if name in {spec.name for spec in self.controllers})
                 if not who:
                     raise ValueError(f"{verb} is for controllers")
-            if on == "host":
+            if target == "host":
                 hosts = {host.name for host in self.hosts}
-                who = tuple(name for name in who if name in hosts)  # zone:a names controllers too
+                who = tuple(name for name in who if name in hosts)  # zone:a selects controllers too
                 if not who:
                     raise ValueError(f"{verb} is for hosts")
         if verb == "cut":
-            who = self.names(rest[0])
-            rest = [",".join(self.names(rest[2]))] + rest[3:]
+            who = self.resolve_names(rest[0])
+            rest = [",".join(self.resolve_names(rest[2]))] + rest[3:]
             if rest[1:] not in ([], ["one-way"]):
                 raise ValueError("cut A from B [one-way] for SECONDS")
-        elif count >= 0 and len(rest) != count:
-            raise ValueError(f"{verb} takes {count} more words, there are {len(rest)}")
+        elif argument_count >= 0 and len(rest) != argument_count:
+            raise ValueError(f"{verb} takes {argument_count} more words, there are {len(rest)}")
         if verb == "discovery" and (not rest or rest[0] not in ("down", "late", "lose")):
             raise ValueError("discovery down, late SECONDS or lose")
         if verb in ("slow", "pace", "deploy", "burst", "loss", "double", "delay", "jump", "favour"):
@@ -264,30 +295,36 @@
         if verb == "hot":
             float(rest[1])
         if verb == "campaign":
-            who, rest = self.campaign(rest)
+            who, rest = self.parse_campaign(rest)
         if verb == "hand" and rest[0] not in DUTIES:
             raise ValueError(f"hand takes a duty: {', '.join(DUTIES)}")
         return Order(at, until, verb, who, tuple(rest))
 
-    def campaign(self, rest) -> tuple[tuple[str, ...], list[str]]:
-        """campaign NAME WHO [BOUND=FIGURE ...], or campaign NAME pause, resume or abort."""
-        if len(rest) == 2 and rest[1] in WISHES:
+    def parse_campaign(self, rest) -> tuple[tuple[str, ...], list[str]]:
+        """Parses NAME WHO [BOUND=VALUE ...], or NAME pause|resume|abort, and returns the hosts and the rest.
+
+        Raises ValueError, IndexError.
+        """
+        if len(rest) == 2 and rest[1] in CAMPAIGN_CHANGES:
             return (), rest
         hosts = {host.name for host in self.hosts}
-        who = tuple(name for name in self.names(rest[1]) if name in hosts)
+        who = tuple(name for name in self.resolve_names(rest[1]) if name in hosts)
         if not who:
             raise ValueError("a campaign is over hosts")
-        kinds = {field.name: type(field.default) for field in fields(Bounds)}
+        types = {field.name: type(field.default) for field in fields(Bounds)}
         for word in rest[2:]:
-            key, _, figure = word.partition("=")
-            if key not in kinds:
+            key, _, value = word.partition("=")
+            if key not in types:
                 raise ValueError(f"unknown bound {key}")
-            kinds[key](figure)
+            types[key](value)
         return who, [rest[0], *rest[2:]]
 
-    def names(self, text) -> tuple[str, ...]:
-        """The names that a selector stands for: h01,h02 or zone:a or cell:2 or 25% or hosts or controllers. `owner:census`
-        and `owner:campaign` stand for whoever owns that duty when it is played."""
+    def resolve_names(self, text) -> tuple[str, ...]:
+        """The names that a selector matches: `h01,h02`, `zone:a`, `cell:2`, `25%`, `hosts`, `controllers`.
+
+        `25%` is a random sample of the hosts, the same for the same seed. `owner:census` and `owner:campaign`
+        are returned as they are: the duty's owner is looked up when the order is played. Raises ValueError.
+        """
         hosts = {host.name: host for host in self.hosts}
         controllers = {controller.name: controller for controller in self.controllers}
         if text in ("discovery", "tool") or text.startswith("owner:") and text[6:] in DUTIES:
@@ -312,28 +349,32 @@
                 if name not in hosts and name not in controllers:
                     raise ValueError(f"no host or controller {name}")
         if not found:
-            raise ValueError(f"{text} names nothing")
+            raise ValueError(f"{text} matches no host or controller")
         return tuple(found)
 
-    def check(self, cluster: Cluster) -> None:
+    def check_cluster(self, cluster: Cluster) -> None:
+        """Checks kinds, offerings, campaigns and the number of controllers against the cluster file."""
         settings = cluster.settings
         for host in self.hosts:
             if host.kind not in settings.kinds:
-                self.faults.append(f"{self.name}: hosts: no kind {host.kind} in the cluster")
+                self.errors.append(f"{self.name}: hosts: no kind {host.kind} in the cluster")
                 break
         for stream in self.streams:
             if stream.offering not in settings.offerings:
-                self.faults.append(f"{self.name}: load: no offering {stream.offering} in the cluster")
+                self.errors.append(f"{self.name}: load: no offering {stream.offering} in the cluster")
         if cluster.campaign.tool is None and any(words[2:3] == ["campaign"] for _, words in self.orders):
-            self.faults.append(f"{self.name}: a campaign, and the cluster has no block campaign")
+            self.errors.append(f"{self.name}: a campaign, and the cluster has no block campaign")
         if len(self.controllers) != settings.controllers:
-            self.faults.append(
+            self.errors.append(
                 f"{self.name}: {len(self.controllers)} controllers, the cluster states {settings.controllers}"
             )
 
 
-def after(words, name) -> list[str] | None:
-    """The words that follow `name`, up to the next that is one of these names or holds a figure."""
+def words_after(words, name) -> list[str] | None:
+    """The words that follow `name`, up to the next keyword or KEY=VALUE; None if `name` is not there.
+
+    Raises ValueError if nothing follows it.
+    """
     if name not in words:
         return None
     found = []
@@ -346,17 +387,19 @@
     return found
 
 
-def habit(word) -> tuple[str, object]:
+def parse_habit(word) -> tuple[str, object]:
+    """Parses KEY=VALUE, a field of the hosts' behavior. Raises ValueError."""
     name, equals, text = word.partition("=")
-    kinds = {field.name: type(field.default) for field in fields(HostBehavior)}
-    if name not in kinds or not equals:
+    types = {field.name: type(field.default) for field in fields(HostBehavior)}
+    if name not in types or not equals:
         raise ValueError(f"unknown habit {name}")
-    return name, text == "yes" if kinds[name] is bool else kinds[name](text)
+    return name, text == "yes" if types[name] is bool else types[name](text)
 
 
-def span(text) -> tuple[float, float]:
-    """
-    >>> span("1-4"), span("2")
+def parse_range(text) -> tuple[float, float]:
+    """Parses LOW-HIGH or one number for both. Raises ValueError.
+
+    >>> parse_range("1-4"), parse_range("2")
     ((1.0, 4.0), (2.0, 2.0))
     """
     low, _, high = text.partition("-")
--- a/linedeal/lab/operating.py
+++ b/linedeal/lab/operating.py
@@ -1,4 +1,4 @@
-"""The operator of a day: what its file says of duties and campaigns, asked of the council as the commands do."""
+"""The operator of a day: sends its duty and campaign commands to the council, as the command line does."""
 
 import random
 
@@ -10,67 +10,75 @@
 from linedeal.settings.cluster import read_cluster
 from linedeal.settings.records import Bounds
 
-WITHIN = 8.0  # seconds for each
-TRIES = 3  # while no majority answers
-WISHES = {"pause": Want.PAUSE, "resume": Want.RUN, "abort": Want.ABORT}
+TIMEOUT = 8.0  # seconds for each command
+MAX_ATTEMPTS = 3  # attempts to start a campaign while no majority of the council answers
+CAMPAIGN_CHANGES = {"pause": Want.PAUSE, "resume": Want.RUN, "abort": Want.ABORT}
 
 
 class Operator:
-    """`cluster_path` is the file that the day's controllers read."""
+    """Issues commands to the council. Each raises CouncilUnavailableError, or DutyError if it is refused."""
 
     def __init__(self, cluster_path: str):
+        """`cluster_path`: the file that the day's controllers read. Raises ConfigError."""
         self.cluster = read_cluster(cluster_path)
 
     def council_client(self) -> CouncilClient:
+        """A new client of the council; use it as an async context manager."""
         return CouncilClient(self.cluster.council, "an operator", "", TcpNet(), random.random)
 
     async def start_campaign(self, name: str, hosts: tuple[str, ...], bounds: dict[str, str]) -> Plan:
-        mine = self.cluster.campaign.bounds
-        kinds = {key: type(getattr(mine, key)) for key in bounds}
-        wanted = Bounds(
+        """Starts a campaign and returns its plan. `bounds`: as text; others are those of the cluster file."""
+        cluster_bounds = self.cluster.campaign.bounds
+        types = {key: type(getattr(cluster_bounds, key)) for key in bounds}
+        requested = Bounds(
             **{
-                key: kinds[key](bounds[key]) if key in bounds else getattr(mine, key)
-                for key in mine.__dataclass_fields__
+                key: types[key](bounds[key]) if key in bounds else getattr(cluster_bounds, key)
+                for key in cluster_bounds.__dataclass_fields__
             }
         )
         async with self.council_client() as client:
-            for left in reversed(range(TRIES)):
+            for attempts_left in reversed(range(MAX_ATTEMPTS)):
                 try:
                     known = (
-                        (await operator.campaign_status(client, WITHIN)).plan if left < TRIES - 1 else None
+                        (await operator.campaign_status(client, TIMEOUT)).plan
+                        if attempts_left < MAX_ATTEMPTS - 1
+                        else None
                     )
                     if known is not None and known.id == name:
-                        return known  # it was made, and nobody could say so in time
+                        return known  # an earlier attempt succeeded, but its answer was late
                     plan = operator.plan_campaign(
                         name,
-                        await operator.list_hosts(client, WITHIN),
+                        await operator.list_hosts(client, TIMEOUT),
                         operator.HostSelection(hosts),
-                        wanted,
-                        mine,
+                        requested,
+                        cluster_bounds,
                     )
-                    await operator.start_campaign(client, plan, WITHIN)
+                    await operator.start_campaign(client, plan, TIMEOUT)
                     return plan
                 except operator.CouncilUnavailableError:
-                    if not left:
+                    if not attempts_left:
                         raise
 
-    async def change_campaign(self, name: str, wish: str) -> None:
+    async def change_campaign(self, name: str, change: str) -> None:
+        """Applies a change of CAMPAIGN_CHANGES: pause, resume or abort."""
         async with self.council_client() as client:
-            await operator.change_campaign(client, name, WISHES[wish], WITHIN)
+            await operator.change_campaign(client, name, CAMPAIGN_CHANGES[change], TIMEOUT)
 
-    async def hand_over(self, duty: str, heir: str = "") -> None:
+    async def hand_over(self, duty: str, successor: str = "") -> None:
+        """Takes a duty from its owner, for `successor` or, if that is empty, for any controller."""
         async with self.council_client() as client:
-            await operator.hand_over(client, f"duty/{duty}", heir, WITHIN)
+            await operator.hand_over(client, f"duty/{duty}", successor, TIMEOUT)
 
     async def duty_owner(self, duty: str) -> str:
-        """The controller that has it; raises CouncilUnavailableError, and DutyError where nobody has."""
+        """The name of the controller that owns a duty. Raises DutyError if none does."""
         async with self.council_client() as client:
-            told = operator.require_read(await client.read(f"duty/{duty}", WITHIN), duty)
-        owner = duties.decode(told.value.body).owner.partition("/")[0]
+            reply = operator.require_read(await client.read(f"duty/{duty}", TIMEOUT), duty)
+        owner = duties.decode(reply.value.body).owner.partition("/")[0]
         if not owner:
             raise duties.DutyError(f"nobody owns {duty}")
         return owner
 
     async def campaign_status(self) -> operator.CampaignStatus:
+        """The plan, the duty and the progress of the latest campaign."""
         async with self.council_client() as client:
-            return await operator.campaign_status(client, WITHIN)
+            return await operator.campaign_status(client, TIMEOUT)
--- a/linedeal/lab/play.py
+++ b/linedeal/lab/play.py
@@ -1,9 +1,9 @@
-"""Plays a day on either playground and hands back what was recorded."""
+"""Plays a day on a cluster of processes or of tasks, and returns what was recorded."""
 
 import logging
 import tempfile
+from collections.abc import Awaitable, Callable, Iterable
 from pathlib import Path
-from typing import Awaitable, Callable, Iterable
 
 import anyio
 import structlog
@@ -20,46 +20,54 @@
 from linedeal.policy import Controller
 from linedeal.standin.model import HostModel
 
-PROGRESS = 5.0  # seconds between two lines of progress
+PROGRESS_INTERVAL = 5.0  # seconds between two lines of progress
+# a log that prints critical events only
 QUIET_LOG = structlog.wrap_logger(
     structlog.PrintLogger(), wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL)
 )
 
 
-async def play(day: Day, ground, net, say: Callable[[str], None]) -> Tally:
-    """The load and the orders of a day, until all is answered."""
+async def play(day: Day, cluster, net, print_line: Callable[[str], None]) -> Tally:
+    """Runs the load and the orders of a day on a test cluster; returns when each job has ended for its owner.
+
+    `print_line` is called with each line of progress.
+    """
     tally = Tally()
-    owners = LoadGenerator(day, net, ground.controllers, tally)
-    director = Director(day, ground, owners, say)
+    load = LoadGenerator(day, net, cluster.controllers, tally)
+    director = Director(day, cluster, load, print_line)
     begun = anyio.current_time()
 
     async def progress():
         while True:
-            await anyio.sleep(PROGRESS)
+            await anyio.sleep(PROGRESS_INTERVAL)
             ends: dict[str, int] = {}
             for by_end in tally.ends.values():
                 for end, count in by_end.items():
                     ends[end] = ends.get(end, 0) + count
-            said = ", ".join(f"{count} {end}" for end, count in sorted(ends.items()))
-            say(
-                f"{anyio.current_time() - begun:6.1f}  {sum(tally.asked.values())} asked: {said or 'none ended'}"
+            summary = ", ".join(f"{count} {end}" for end, count in sorted(ends.items()))
+            print_line(
+                f"{anyio.current_time() - begun:6.1f}  {sum(tally.asked.values())} submitted: "
+                f"{summary or 'none ended'}"
             )
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(progress)
-        async with anyio.create_task_group() as works:
-            works.start_soon(director.run)
-            works.start_soon(owners.run)
+        async with anyio.create_task_group() as workers:
+            workers.start_soon(director.run)
+            workers.start_soon(load.run)
         tasks.cancel_scope.cancel()
     return tally
 
 
-async def play_processes(day: Day, directory: Path, say) -> tuple[Tally, Iterable[Entry]]:
-    """Over sockets, in real time, with processes that can die."""
-    async with ProcessCluster(day, directory) as ground:
-        say(f"   0.0  {len(day.controllers)} controllers and {len(day.hosts)} hosts stand")
-        tally = await play(day, ground, TcpNet(), say)
-        await ground.order("tap", {"flush": True})
+async def play_processes(day: Day, directory: Path, print_line) -> tuple[Tally, Iterable[Entry]]:
+    """Plays the day in real time over sockets, with processes that can be killed.
+
+    Returns the tally and the record of traffic, which is read from `directory` as it is iterated.
+    """
+    async with ProcessCluster(day, directory) as cluster:
+        print_line(f"   0.0  {len(day.controllers)} controllers and {len(day.hosts)} hosts are running")
+        tally = await play(day, cluster, TcpNet(), print_line)
+        await cluster.order("tap", {"flush": True})
         await anyio.sleep(0.5)
     return tally, read_record(directory / "traffic.jsonl")
 
@@ -71,27 +79,29 @@
     runtime=PausableRuntime,
     model=HostModel,
 ):
-    """What `work(ground)` returns, with the day's cluster standing in this process on trio's mock clock. The same day,
-    seed and work give the same course."""
-    # trio shuffles tasks that are ready at once; seeded, it does so the same way each time
+    """Runs the day's cluster in this process on trio's mock clock, and returns the result of `work(cluster)`.
+
+    Deterministic: the same day, seed and work give the same result.
+    """
+    # trio runs tasks that are ready at the same time in random order: seeded, the order is reproducible
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(day.seed)
 
     async def main():
         with tempfile.TemporaryDirectory() as directory:
-            async with InProcessCluster(day, Path(directory), QUIET_LOG, policy, runtime, model) as ground:
-                return await work(ground)
+            async with InProcessCluster(day, Path(directory), QUIET_LOG, policy, runtime, model) as cluster:
+                return await work(cluster)
 
     return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 def play_in_memory(
-    day: Day, say=lambda line: None, policy=Controller, runtime=PausableRuntime
+    day: Day, print_line=lambda line: None, policy=Controller, runtime=PausableRuntime
 ) -> tuple[Tally, list[Entry]]:
-    """The day's load and orders, in memory. The same day and seed give the same record."""
+    """Plays the day's load and orders in memory. The same day and seed give the same record."""
 
-    async def work(ground):
-        tally = await play(day, ground, ground.net, say)
-        return tally, ground.recorder.entries
+    async def work(cluster):
+        tally = await play(day, cluster, cluster.net, print_line)
+        return tally, cluster.recorder.entries
 
     return run_in_memory(day, work, policy, runtime)
--- a/linedeal/lab/processes.py
+++ b/linedeal/lab/processes.py
@@ -1,4 +1,8 @@
-"""A cluster of processes on loopback sockets: what can die is a process of its own, and the tap is another."""
+"""A test cluster of processes on loopback sockets: each part that can be killed is a process of its own.
+
+All links except those from hosts to discovery lead through the tap, a proxy process that records traffic and
+injects network faults.
+"""
 
 import json
 import os
@@ -8,9 +12,9 @@
 import subprocess
 import sys
 import time
+from collections.abc import Iterable
 from dataclasses import asdict
 from pathlib import Path
-from typing import Iterable
 
 import anyio
 import anyio.abc
@@ -19,46 +23,52 @@
 from linedeal.lab.operating import Operator
 from linedeal.net import parse_address
 
-READY = 20.0  # seconds for a process to say where it listens
-SEATS = 20000, 32000  # ports for the council, which are known before their process starts
-STARTS = 5  # tries, where its port is still taken
+START_TIMEOUT = 20.0  # seconds for a process to print the address at which it listens
+# range of the ports for the council, chosen before their processes start, below those that the system assigns
+COUNCIL_PORTS = 20000, 32000
+MAX_START_ATTEMPTS = 5  # a restarted process fails while its former port is still in use
 
 
 def free_port() -> int:
-    """One that nobody listens at, below those that the system gives out: until its process takes it, nobody else does."""
+    """Returns a port that is not in use, outside the range of ports that the system assigns by itself.
+
+    So nothing else is likely to take it before the process that it is meant for.
+    """
     while True:
-        port = random.randrange(*SEATS)
-        with socket.socket() as held:
+        port = random.randrange(*COUNCIL_PORTS)
+        with socket.socket() as probe:
             try:
-                held.bind(("127.0.0.1", port))
+                probe.bind(("127.0.0.1", port))
                 return port
             except OSError:
-                continue  # taken: another
+                continue  # in use: try another
 
 
 class ClusterProcessError(Exception):
-    """A process of the cluster did not come up; its text names the process and its log."""
+    """A process of the cluster did not start or has ended; the message names the process and its log."""
 
 
 class ProcessCluster:
-    """Use as an async context manager; leaving it ends every process that it started."""
+    """Runs a day's cluster. Use as an async context manager; leaving it ends every process it started."""
 
     def __init__(self, day: Day, directory: Path):
+        """`directory`: for state, logs and the record of traffic; created if missing."""
         self.day, self.directory = day, directory
         self.running: dict[str, anyio.abc.Process] = {}
         self.commands: dict[str, list[str]] = {}
-        self.ports: dict[str, str] = {}  # where each really listens
-        self.routes: dict[str, str] = {}  # and where the tap listens for it
+        self.ports: dict[str, str] = {}  # by name: the address at which the process itself listens
+        self.routes: dict[str, str] = {}  # by name: the address at which the tap listens for it
         self.controllers: dict[str, tuple] = {}
         self.host_specs: dict[str, HostSpec] = {}
-        self.boots: dict[str, int] = {}
-        self.tap_answers: dict[str, str] = {}
-        self.tap_told = anyio.Event()
+        self.boots: dict[str, int] = {}  # by host: time of its start, in milliseconds of the system clock
+        self.tap_routes: dict[str, str] = {}  # routes that the tap has reported
+        self.tap_reported = anyio.Event()
         self.cluster_path = day.cluster_path
-        self.seats: dict[str, str] = {}  # where each member's council really listens
-        self.replacing: set[tuple[str, int]] = set()  # hosts and boots that the tool is at
+        self.council_addresses: dict[str, str] = {}  # by member: where its council listener listens
+        self.replacing: set[tuple[str, int]] = set()  # hosts and boots being replaced for the tool
 
     async def __aenter__(self):
+        """Starts all processes. Raises ClusterProcessError if one does not start."""
         self.directory.mkdir(parents=True, exist_ok=True)
         self.tasks = anyio.create_task_group()
         await self.tasks.__aenter__()
@@ -68,9 +78,9 @@
             async with anyio.create_task_group() as starting:
                 for spec in self.day.hosts:
                     starting.start_soon(self.start_host, spec, False)
-            await self.seat_council()
+            await self.reserve_council_routes()
             await self.start_tool()
-            await anyio.sleep(1.0)  # the first list is whole before a controller asks for it
+            await anyio.sleep(1.0)  # all hosts are listed before a controller reads the list
             async with anyio.create_task_group() as starting:
                 for spec in self.day.controllers:
                     starting.start_soon(self.start_controller, spec)
@@ -80,14 +90,16 @@
         return self
 
     async def __aexit__(self, *error):
+        """Ends all processes."""
         await self.end()
 
     async def end(self) -> None:
+        """Ends all processes and waits for them, also when cancelled."""
         with anyio.CancelScope(shield=True):
             for name, process in self.running.items():
                 if process.returncode is None:
                     process.send_signal(signal.SIGCONT)
-                    # the tap writes its record to the end; a thread of it reads orders, and ends when they do
+                    # the tap is not killed, so that its record is complete: it ends when its input does
                     await process.stdin.aclose() if name == "tap" else process.kill()
             for process in self.running.values():
                 with anyio.move_on_after(5.0):
@@ -101,20 +113,24 @@
     # -- starting
 
     async def spawn(self, name: str, command: list[str]) -> str:
-        """Starts a process and returns the address that it tells on its first line."""
+        """Starts a process and returns the address that it prints on its first line.
+
+        Raises ClusterProcessError after MAX_START_ATTEMPTS.
+        """
         log = self.directory / f"{name}.log"
-        for _ in range(STARTS):
+        for _ in range(MAX_START_ATTEMPTS):
             with open(log, "ab") as errors:
                 process = await anyio.open_process(
                     [sys.executable, "-m", "linedeal", *command],
                     stdin=subprocess.PIPE,
                     stdout=subprocess.PIPE,
                     stderr=errors,
+                    # Ctrl-C ends this process only, which then ends the others
                     start_new_session=True,
-                )  # a Ctrl-C is ours to pass on
+                )
             self.running[name] = process
             line = b""
-            with anyio.move_on_after(READY):
+            with anyio.move_on_after(START_TIMEOUT):
                 try:
                     while not line.endswith(b"\n"):
                         line += await process.stdout.receive(1 if name != "tap" else 65536)
@@ -122,7 +138,7 @@
                     pass
             if line.endswith(b"\n"):
                 if name in ("tap", "tool"):
-                    self.tasks.start_soon(self.hear, process)
+                    self.tasks.start_soon(self.read_reports, process)
                 return json.loads(line)["address"]
             if process.returncode is None:
                 process.kill()
@@ -130,26 +146,26 @@
             await anyio.sleep(0.2)
         raise ClusterProcessError(f"{name} did not start, see {log}")
 
-    async def hear(self, process) -> None:
-        """What the tap and the tool tell, a JSON object a line."""
+    async def read_reports(self, process) -> None:
+        """Handles what the tap and the tool print: one JSON object a line."""
         rest = b""
         try:
             while True:
                 rest += await process.stdout.receive()
                 *lines, rest = rest.split(b"\n")
                 for line in lines:
-                    told = json.loads(line)
-                    if "route" in told:
-                        self.tap_answers.update([told["route"]])
-                        self.tap_told.set()
-                        self.tap_told = anyio.Event()
+                    report = json.loads(line)
+                    if "route" in report:
+                        self.tap_routes.update([report["route"]])
+                        self.tap_reported.set()
+                        self.tap_reported = anyio.Event()
                     else:
-                        self.tasks.start_soon(self.replace, *told["replace"])
+                        self.tasks.start_soon(self.replace, *report["replace"])
         except (anyio.EndOfStream, anyio.ClosedResourceError):
             pass
 
     async def replace(self, name: str, boot: int) -> None:
-        """What the operators' tool does: this boot of the host goes, the next comes."""
+        """Restarts a host for the tool, unless this boot of it is gone or being replaced already."""
         if self.boots.get(name) != boot or (name, boot) in self.replacing:
             return
         self.replacing.add((name, boot))
@@ -163,9 +179,11 @@
 
     @property
     def operator(self) -> Operator:
+        """An operator of this cluster; reads its cluster file."""
         return Operator(self.cluster_path)
 
     async def start_tool(self) -> None:
+        """Starts the stand-in for the operators' tool, if the cluster file has a campaign block."""
         if self.day.cluster.campaign.tool is not None:
             await self.run(
                 "tool",
@@ -179,40 +197,45 @@
                 ],
             )
             await self.order("tool", {"boots": self.boots})
-            self.put_in_place(self.day.cluster.campaign.tool, self.routes["tool"])
+            self.replace_address(self.day.cluster.campaign.tool, self.routes["tool"])
 
-    def put_in_place(self, address: tuple[str, int], route: str) -> None:
-        """The controllers' cluster file names the tap's route in place of an address."""
+    def replace_address(self, address: tuple[str, int], route: str) -> None:
+        """Puts the tap's route in place of an address in the cluster file that controllers read."""
         text = Path(self.cluster_path).read_text(encoding="utf-8")
         self.cluster_path = str(self.directory / "cluster-in-place.hcl")
-        Path(self.cluster_path).write_text(text.replace('"%s:%d"' % address, f'"{route}"'), encoding="utf-8")
+        Path(self.cluster_path).write_text(
+            text.replace(f'"{address[0]}:{address[1]}"', f'"{route}"'), encoding="utf-8"
+        )
 
     async def run(self, name: str, command: list[str]) -> None:
-        """Starts what listens, and a route through the tap to it."""
+        """Starts a process that listens, and a route through the tap to it."""
         self.commands[name] = command
         self.ports[name] = await self.spawn(name, [*command, "--listen", "127.0.0.1:0"])
         await self.route(name, self.ports[name])
 
     async def route(self, name: str, to: str) -> None:
+        """Has the tap listen for `name` and waits for the address of that listener."""
         await self.order("tap", {"route": [name, to]})
-        while name not in self.tap_answers:
-            await self.tap_told.wait()
-        self.routes[name] = self.tap_answers[name]
+        while name not in self.tap_routes:
+            await self.tap_reported.wait()
+        self.routes[name] = self.tap_routes[name]
 
-    async def seat_council(self) -> None:
-        """A port and a route for each member, ahead of all controllers: their file names the routes."""
+    async def reserve_council_routes(self) -> None:
+        """Chooses a port and a route for each council member before controllers start and read the routes."""
         for member, address in self.day.cluster.council.places.items():
-            self.seats[member] = f"127.0.0.1:{free_port()}"
-            await self.route(f"{member}/council", self.seats[member])
-            self.put_in_place(address, self.routes[f"{member}/council"])
+            self.council_addresses[member] = f"127.0.0.1:{free_port()}"
+            await self.route(f"{member}/council", self.council_addresses[member])
+            self.replace_address(address, self.routes[f"{member}/council"])
 
     async def start_host(self, spec: HostSpec, slow_start: bool) -> None:
+        """Adds a host; with `slow_start` it runs cold, as a machine that has just started."""
         self.host_specs[spec.name] = spec
         self.boots[spec.name] = time.time_ns() // 1_000_000
         await self.run(spec.name, self.host_command(spec, slow_start))
         await self.order(spec.name, {"advertise": self.routes[spec.name]})
 
     def host_command(self, spec: HostSpec, slow_start: bool) -> list[str]:
+        """The command line that starts this boot of the host."""
         return [
             "host",
             "--name",
@@ -240,6 +263,7 @@
         ]
 
     async def start_controller(self, spec: ControllerSpec) -> None:
+        """Starts a controller with its state in a directory of its name."""
         await self.run(
             spec.name,
             [
@@ -256,16 +280,20 @@
                 str(self.day.seed),
                 "--json",
                 "--control",
-                *(["--council-listen", self.seats[spec.name]] if spec.name in self.seats else []),
+                *(
+                    ["--council-listen", self.council_addresses[spec.name]]
+                    if spec.name in self.council_addresses
+                    else []
+                ),
                 *(["--clock", str(spec.clock)] if spec.clock != 1.0 else []),
             ],
         )
         self.controllers[spec.name] = parse_address(self.routes[spec.name])
 
-    # -- what a day does
+    # -- faults and commands of a day
 
     async def start(self, name: str) -> None:
-        """Again, at its old address; a host comes back young."""
+        """Starts a process again at its old address; a host begins its slow start."""
         command = self.commands[name]
         if name in self.host_specs:
             self.boots[name] = max(self.boots[name] + 1, time.time_ns() // 1_000_000)
@@ -276,6 +304,7 @@
             await self.order("tool", {"boots": self.boots})
 
     async def kill(self, name: str) -> None:
+        """Kills a process and waits for its end."""
         await self.mark("kill", name)
         process = self.running[name]
         if process.returncode is None:
@@ -283,21 +312,28 @@
         await process.wait()
 
     async def set_paused(self, name: str, paused: bool) -> None:
+        """Stops a process with SIGSTOP, or continues it."""
         await self.mark("stop" if paused else "continue", name)
         os.kill(self.running[name].pid, signal.SIGSTOP if paused else signal.SIGCONT)
 
     async def order(self, name: str, order: dict) -> None:
+        """Writes a JSON order to a process. A process that has ended is skipped; the tap must not end.
+
+        Raises ClusterProcessError.
+        """
         process = self.running[name]
         try:
             await process.stdin.send(json.dumps(order).encode() + b"\n")
         except (anyio.BrokenResourceError, anyio.ClosedResourceError):
             if name == "tap" or process.returncode is None:
                 raise ClusterProcessError(
-                    f"{name} takes no orders any more, see {self.directory / name}.log"
+                    f"{name} no longer reads orders, see {self.directory / name}.log"
                 ) from None
 
     async def cut(self, pairs: Iterable[tuple[str, str]], on: bool) -> None:
+        """Cuts or restores the network in these directions, each `(from, to)`."""
         await self.order("tap", {"cut" if on else "heal": list(pairs)})
 
     async def mark(self, what: str, who: str) -> None:
+        """Notes in the record of traffic that `what` was done to `who`."""
         await self.order("tap", {"mark": [what, who]})
--- a/linedeal/lab/report.py
+++ b/linedeal/lab/report.py
@@ -1,4 +1,4 @@
-"""The table at the end of a day, and the value that it earned."""
+"""The report of a day: a table of its offerings, the rules kept or broken, and the value earned."""
 
 from dataclasses import dataclass
 
@@ -11,14 +11,14 @@
 from linedeal.lab.day import Day
 from linedeal.protocol import pb
 
-SHOWN = 3  # breaches of a rule that are shown
-DUE = 0.25  # share of a job's expiry within which a start counts as punctual
-START = 4.0  # seconds of full service that a punctual start is worth
+MAX_SHOWN = 3  # breaches shown for each rule
+PUNCTUAL_SHARE = 0.25  # share of a job's expiry within which a start counts as punctual
+START_BONUS = 4.0  # value of a punctual start, as seconds of full service
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
-    """Of one offering. Delays are seconds from taken to started."""
+class OfferingSummary:
+    """One offering's line of the table. Delays are seconds from the acceptance of a job to its start."""
 
     offering: str
     taken: int
@@ -26,13 +26,14 @@
     rejected: int
     written_off: int
     unanswered: int
-    launches: float
+    launches: float  # mean number for a job
     delay_median: float
     delay_p99: float
 
 
-def summarize_offerings(traffic: Traffic) -> list[Row]:
-    found = []
+def summarize_offerings(traffic: Traffic) -> list[OfferingSummary]:
+    """Summarizes the jobs of each offering, sorted by its name."""
+    summaries = []
     for offering in sorted({job.offering for job in traffic.jobs.values()}):
         jobs = [job for job in traffic.jobs.values() if job.offering == offering]
         verdicts = [job.reported_verdicts[0][1] if job.reported_verdicts else None for job in jobs]
@@ -41,8 +42,8 @@
             started = min((launch.started for launch in job.launches), default=NEVER)
             if started < NEVER:
                 delays.record_value(max(1, round((started - job.taken) * 1000)))
-        found.append(
-            Row(
+        summaries.append(
+            OfferingSummary(
                 offering,
                 len(jobs),
                 verdicts.count(pb.PLACED),
@@ -54,15 +55,17 @@
                 delays.get_value_at_percentile(99) / 1000,
             )
         )
-    return found
+    return summaries
 
 
-def earned_share(traffic: Traffic, day: Day, asked: dict[str, int]) -> float:
-    """Value earned over value asked for.
+def earned_share(traffic: Traffic, day: Day, submitted: dict[str, int]) -> float:
+    """Ratio of the value earned to the value requested, at most 1.
 
-    A job is worth its offering's value for each core and second in which it is served in full, and START seconds more
-    if it starts within DUE of its expiry. How it is served follows from the cores that all jobs of its host were told
-    to use, by the offering's calm and fade. Asked for is what all jobs would earn, at the mean run and size seen.
+    A job earns its offering's value for each core and second in which it is served in full, and as much as
+    for START_BONUS more seconds if it starts within PUNCTUAL_SHARE of its expiry. The degree of service
+    follows from the cores in use on its host, as reported for all its jobs, by the offering's `calm` and
+    `fade`. The value requested is what all jobs would earn, at the mean run time and size observed.
+    `submitted`: number of jobs by offering.
     """
     offerings = day.cluster.settings.offerings
     seconds, served = run_seconds(traffic, day)
@@ -76,48 +79,48 @@
     for job in traffic.jobs.values():
         sizes.setdefault(job.offering, []).append(job.cores)
         started = min((launch.started for launch in job.launches), default=NEVER)
-        if started <= job.taken + DUE * offerings[job.offering].expiry:
-            value += START * job.cores * offerings[job.offering].value
-    mean = sum(seconds.values()) / len(seconds)
-    whole = sum(
-        offerings[name].value * count * (mean + START) * sum(sizes[name]) / len(sizes[name])
-        for name, count in asked.items()
+        if started <= job.taken + PUNCTUAL_SHARE * offerings[job.offering].expiry:
+            value += START_BONUS * job.cores * offerings[job.offering].value
+    mean_seconds = sum(seconds.values()) / len(seconds)
+    requested = sum(
+        offerings[name].value * count * (mean_seconds + START_BONUS) * sum(sizes[name]) / len(sizes[name])
+        for name, count in submitted.items()
         if name in sizes
     )
-    return min(1.0, value / whole)
+    return min(1.0, value / requested)
 
 
 def run_seconds(
     traffic: Traffic, day: Day
 ) -> tuple[dict[ObservedLaunch, float], dict[ObservedLaunch, float]]:
-    """Of each launch that started: the seconds that it ran, and those in which it was served, in parts."""
+    """For each launch that started: the seconds it ran, and those weighted by the degree of its service."""
     settings = day.cluster.settings
     kinds = {host.name: settings.kinds[host.kind] for host in day.hosts}
     seconds, served = {}, {}
     by_host: dict[str, list] = {}
     for number, launch in enumerate(traffic.launches.values()):
         if launch.started < NEVER and launch.host in kinds:
-            over = min(launch.ended, launch.lost, traffic.end)
-            seconds[launch], served[launch] = over - launch.started, 0.0
+            ended_at = min(launch.ended, launch.lost, traffic.end)
+            seconds[launch], served[launch] = ended_at - launch.started, 0.0
             for t, cores in launch.usage_reports:
                 by_host.setdefault(launch.host, []).append((t, number, launch, cores))
-            by_host.setdefault(launch.host, []).append((over, number, launch, None))
+            by_host.setdefault(launch.host, []).append((ended_at, number, launch, None))
     for host, changes in by_host.items():
         running: dict[ObservedLaunch, float] = {}
         last = 0.0
         for t, _, launch, cores in sorted(changes, key=lambda change: change[:2]):
-            busy = sum(running.values()) / kinds[host].cores
+            load = sum(running.values()) / kinds[host].cores
             for other in running:
                 offering = settings.offerings[other.job.offering]
-                over = busy - offering.degradation_start
-                part = (
+                overload = load - offering.degradation_start
+                degree = (
                     1.0
-                    if over <= 0
-                    else max(0.0, 1.0 - over / offering.degradation_span)
+                    if overload <= 0
+                    else max(0.0, 1.0 - overload / offering.degradation_span)
                     if offering.degradation_span
                     else 0.0
                 )
-                served[other] += part * (t - last)
+                served[other] += degree * (t - last)
             last = t
             if cores is None:
                 running.pop(launch, None)
@@ -127,10 +130,10 @@
 
 
 def report_lines(traffic: Traffic, breaches: list[Breach], of_duties: list[DutyBreach] = ()) -> list[str]:
-    """The closing table, and each rule kept or broken; claims of duties where any was at work."""
-    form = "{:<16}{:>7}{:>8}{:>10}{:>13}{:>12}{:>10}{:>12}{:>10}"
-    out = [
-        form.format(
+    """The table of offerings and each rule, kept or broken; the claims of duties if any was active."""
+    row_format = "{:<16}{:>7}{:>8}{:>10}{:>13}{:>12}{:>10}{:>12}{:>10}"
+    report = [
+        row_format.format(
             "offering",
             "taken",
             "placed",
@@ -143,8 +146,8 @@
         )
     ]
     for row in summarize_offerings(traffic):
-        out.append(
-            form.format(
+        report.append(
+            row_format.format(
                 row.offering,
                 row.taken,
                 row.placed,
@@ -156,22 +159,24 @@
                 f"{row.delay_p99:.3f}",
             )
         )
-    out.append("")
+    report.append("")
     for rule, text in RULES.items():
-        out += verdict(f"rule {rule}", text, [breach for breach in breaches if breach.rule == rule])
+        report += rule_lines(f"rule {rule}", text, [breach for breach in breaches if breach.rule == rule])
     if traffic.orders or traffic.changes:
         for claim, text in CLAIMS.items():
-            out += verdict(
+            report += rule_lines(
                 f"duties, {claim}", text, [breach for breach in of_duties if breach.claim == claim]
             )
-        out += [
+        report += [
             f"campaign {describe_progress(plan, progress)}" for plan, progress in campaign_outcomes(traffic)
         ]
-    return out
+    return report
 
 
-def verdict(name: str, text: str, broken: list) -> list[str]:
+def rule_lines(name: str, text: str, breaches: list) -> list[str]:
+    """The line of one rule, and the first MAX_SHOWN breaches of it."""
     return [
-        f"{name} {'BROKEN' if broken else 'kept'}: {text}" + (f" ({len(broken)} times)" if broken else ""),
-        *(f"    {breach.t:.3f}  {breach.text}" for breach in broken[:SHOWN]),
+        f"{name} {'BROKEN' if breaches else 'kept'}: {text}"
+        + (f" ({len(breaches)} times)" if breaches else ""),
+        *(f"    {breach.t:.3f}  {breach.text}" for breach in breaches[:MAX_SHOWN]),
     ]
--- a/linedeal/lab/tap.py
+++ b/linedeal/lab/tap.py
@@ -1,7 +1,7 @@
-"""The tap: stands between both sides of each link, records what passes, and cuts what the day says is cut.
+"""The tap: a proxy on each link, which records the traffic and injects network faults.
 
-Packets between the council's members may besides be lost, come twice, late and out of order: the members' links promise
-no more than that. All other links are streams: what passes is passed in order or not at all.
+Packets between the council's members may also be lost, duplicated, delayed and reordered: the members'
+protocol allows for that. All other links are streams, whose bytes are passed on in order or not at all.
 """
 
 import heapq
@@ -16,62 +16,73 @@
 from linedeal.protocol import FrameError, FrameReader, pb
 from linedeal.protocol.frames import HEADER
 
-HELD_MOST = 4 << 20  # bytes that one direction of a cut link keeps; past that the link ends
+MAX_HELD = 4 << 20  # bytes held for one direction of a cut link; if more arrive, the link ends
 
 
-class Weather:
-    """Which directions between which names are cut now. What is cut is kept, and goes on when it ends, as with
-    packets that are sent again."""
+class NetworkConditions:
+    """The network faults in effect.
+
+    Bytes on a cut direction are held and passed on when the cut ends, as with a transport that retransmits.
+    """
 
     def __init__(self, seed: int = 1):
+        """Begins without faults. `seed`: for the fate of the council's packets."""
         self.cuts: set[tuple[str, str]] = set()  # (from, to)
         self.changed = anyio.Event()
-        self.loss = self.double = self.delay = 0.0  # of the council's packets: shares, and seconds at most
+        # for the council's packets: share lost, share duplicated, and maximum delay in seconds
+        self.loss = self.double = self.delay = 0.0
         self.random = Random(seed)
 
     def cut(self, pairs) -> None:
+        """Cuts these directions, each `(from, to)`."""
         self.cuts |= {tuple(pair) for pair in pairs}
 
     def heal(self, pairs) -> None:
+        """Ends the cuts of these directions."""
         self.cuts -= {tuple(pair) for pair in pairs}
         self.changed.set()
         self.changed = anyio.Event()
 
-    def fates(self) -> list[float]:
-        """Of one packet: when each copy of it goes on, seconds from now; none: it is lost."""
+    def deliveries(self) -> list[float]:
+        """Draws the delay of each copy of one packet, in seconds; an empty list if it is lost."""
         if self.random.random() < self.loss:
             return []
         copies = 2 if self.random.random() < self.double else 1
         return [self.random.uniform(0.0, self.delay) for _ in range(copies)]
 
-    async def clear(self, source: str, target: str) -> None:
+    async def wait_until_open(self, source: str, target: str) -> None:
+        """Waits while that direction is cut."""
         while (source, target) in self.cuts:
             await self.changed.wait()
 
 
-class Relay:
+class ProxiedLink:
     """One link through the tap."""
 
-    def __init__(self, near, far, to: str, recorder: Recorder, weather: Weather):
-        self.near, self.far, self.to = near, far, to
-        self.place = to.partition("/")[0]  # one process may listen at several: what cuts it cuts all
-        self.recorder, self.weather = recorder, weather
-        self.peer = ""  # who connected, once its hello has told
+    def __init__(self, client, server, to: str, recorder: Recorder, network: NetworkConditions):
+        """`client`, `server`: the streams to both ends. `to`: the name of the listener behind the tap."""
+        self.client, self.server, self.to = client, server, to
+        # a process may have several listeners, named PROCESS/LISTENER: a cut of the process applies to all
+        self.process = to.partition("/")[0]
+        self.recorder, self.network = recorder, network
+        self.peer = ""  # name of the client, known from its hello on
         self.reader: FrameReader | None = FrameReader()
-        self.packets: FrameSplitter | None = None  # of a link between two members, once its hello has told
+        self.splitter: FrameSplitter | None = None  # set on links between council members, from the hello on
 
     async def run(self) -> None:
+        """Forwards both directions until one ends, then closes both streams."""
         self.link = self.recorder.opened(anyio.current_time(), self.to)
         async with anyio.create_task_group() as self.tasks:
-            self.tasks.start_soon(self.pass_on, self.near, self.far, ">")
-            self.tasks.start_soon(self.pass_on, self.far, self.near, "<")
-        for stream in (self.near, self.far):
+            self.tasks.start_soon(self.forward, self.client, self.server, ">")
+            self.tasks.start_soon(self.forward, self.server, self.client, "<")
+        for stream in (self.client, self.server):
             await anyio.aclose_forcefully(stream)
 
-    async def pass_on(self, source, target, direction: str) -> None:
-        """One direction; when it ends, what was read has been passed on, and then the link ends as a whole."""
-        chunks: list[tuple[float, int, bytes]] = []  # when it may go on, its place, what: a heap
-        numbers = itertools.count()
+    async def forward(self, source, target, direction: str) -> None:
+        """Forwards one direction. At its end all that was read is passed on, then the whole link ends."""
+        # a heap of: time at which it may be passed on, sequence number, bytes
+        chunks: list[tuple[float, int, bytes]] = []
+        sequence = itertools.count()
         wake, ended = anyio.Event(), False
 
         async def write():
@@ -84,10 +95,11 @@
                                 await wake.wait()
                                 wake = anyio.Event()
                             continue
-                        ends = (self.peer, self.place) if direction == ">" else (self.place, self.peer)
-                        await self.weather.clear(*ends)
+                        ends = (self.peer, self.process) if direction == ">" else (self.process, self.peer)
+                        await self.network.wait_until_open(*ends)
                         _, _, data = heapq.heappop(chunks)
-                        if direction == "<":  # counted when it gets through: before, nobody was told
+                        # recorded when passed on: until then the client has not received it
+                        if direction == "<":
                             self.recorder.data(anyio.current_time(), self.link, direction, data)
                         await target.send(data)
                     if ended:
@@ -95,7 +107,7 @@
                     await wake.wait()
                     wake = anyio.Event()
             except CONNECTION_ERRORS:
-                pass  # the other direction's end says the same
+                pass  # the other direction ends as well
             if direction == "<":
                 self.recorder.ended(anyio.current_time(), self.link, direction)
             self.tasks.cancel_scope.cancel()
@@ -104,43 +116,45 @@
         try:
             while True:
                 data = await source.receive()
-                pieces = self.fated(data) if direction == ">" else [(0.0, data)]
+                pieces = self.schedule(data) if direction == ">" else [(0.0, data)]
                 if direction == ">":
-                    self.listen(data)
+                    self.read_hello(data)
                     self.recorder.data(
                         anyio.current_time(),
                         self.link,
                         direction,
                         data,
-                        (self.peer, self.place) in self.weather.cuts,
+                        (self.peer, self.process) in self.network.cuts,
                     )
                 for due, piece in pieces:
-                    heapq.heappush(chunks, (due, next(numbers), piece))
-                if sum(len(piece) for _, _, piece in chunks) > HELD_MOST:
+                    heapq.heappush(chunks, (due, next(sequence), piece))
+                if sum(len(piece) for _, _, piece in chunks) > MAX_HELD:
                     break
                 wake.set()
         except CONNECTION_ERRORS:
-            pass  # an end like another
-        if (
-            direction == ">"
-        ):  # noted as it comes, like data: a cut keeps it from the other side, not from being true
+            pass  # treated as a normal end
+        # recorded when it arrives, as data is: a cut hides it from the server, but the client has ended it
+        if direction == ">":
             self.recorder.ended(anyio.current_time(), self.link, direction)
         ended = True
         wake.set()
 
-    def fated(self, data: bytes) -> list[tuple[float, bytes]]:
-        """What arrived, in pieces with the moment at which each goes on."""
-        if self.packets is None:
+    def schedule(self, data: bytes) -> list[tuple[float, bytes]]:
+        """Cuts what arrived into pieces, each with the loop time at which it is passed on; 0: at once."""
+        if self.splitter is None:
             return [(0.0, data)]
         now = anyio.current_time()
         return [
-            (now + wait if wait else 0.0, frame)
-            for frame in self.packets.feed(data)
-            for wait in self.weather.fates()
+            (now + delay if delay else 0.0, frame)
+            for frame in self.splitter.feed(data)
+            for delay in self.network.deliveries()
         ]
 
-    def listen(self, data: bytes) -> None:
-        """Learns from the first frame who it is. Members say hello and wait for their welcome, so nothing follows it."""
+    def read_hello(self, data: bytes) -> None:
+        """Learns from the first frame who the client is.
+
+        Members wait for the welcome after their hello, so no packet precedes the splitter.
+        """
         if self.reader is None:
             return
         try:
@@ -148,79 +162,92 @@
                 if isinstance(message, pb.Hello):
                     self.peer = message.name
                     if message.role == pb.MEMBER and not self.reader.rest:
-                        self.packets = FrameSplitter()
+                        self.splitter = FrameSplitter()
                 self.reader = None
                 return
         except FrameError:
-            self.reader = None  # whoever it is will be told so by the other side
+            self.reader = None  # the server will reject it
 
 
 class FrameSplitter:
-    """Cuts a stream into whole frames, as bytes."""
+    """Cuts a byte stream into whole frames, without decoding them."""
 
     def __init__(self):
+        """Begins at the start of a frame."""
         self.rest = b""
 
     def feed(self, data: bytes) -> list[bytes]:
-        self.rest, found = self.rest + data, []
+        """Returns the frames that are complete with `data`."""
+        self.rest, frames = self.rest + data, []
         while len(self.rest) >= HEADER.size and len(self.rest) >= (
             size := HEADER.size + HEADER.unpack_from(self.rest)[0]
         ):
-            found.append(self.rest[:size])
+            frames.append(self.rest[:size])
             self.rest = self.rest[size:]
-        return found
+        return frames
 
 
 class TapNet:
-    """A net whose every link to a named place passes the tap."""
+    """A network that puts the tap in front of each named address. Used for clusters in one process."""
 
-    def __init__(self, inner, recorder: Recorder, weather: Weather, names: dict[Address, str], pipe, tasks):
-        self.inner, self.recorder, self.weather, self.names = inner, recorder, weather, names
+    def __init__(
+        self, inner, recorder: Recorder, network: NetworkConditions, names: dict[Address, str], pipe, tasks
+    ):
+        """`inner`: the network below; `names`: the addresses to tap; `pipe` makes two connected streams."""
+        self.inner, self.recorder, self.network, self.names = inner, recorder, network, names
         self.pipe, self.tasks = pipe, tasks
 
     async def connect(self, address: Address):
+        """Connects to `address`, through the tap if it is named."""
         if address not in self.names:
             return await self.inner.connect(address)
-        far = await self.inner.connect(address)
-        mine, near = self.pipe()
-        self.tasks.start_soon(Relay(near, far, self.names[address], self.recorder, self.weather).run)
-        return mine
+        server = await self.inner.connect(address)
+        client_end, client = self.pipe()
+        self.tasks.start_soon(
+            ProxiedLink(client, server, self.names[address], self.recorder, self.network).run
+        )
+        return client_end
 
     async def serve(
         self, address: Address, handle, *, capacity=None, task_status=anyio.TASK_STATUS_IGNORED
     ) -> None:
+        """Listens at `address` on the network below."""
         await self.inner.serve(address, handle, capacity=capacity, task_status=task_status)
 
 
 class TapProcess:
-    """The tap as a process of its own: one listener for each place, in front of it."""
+    """The tap as a process of its own, with one listener in front of each tapped address."""
 
     def __init__(self, net, recorder: Recorder):
+        """`net`: the network on which it listens and connects."""
         self.net, self.recorder = net, recorder
-        self.weather = Weather()
+        self.network = NetworkConditions()
 
     async def route(self, name: str, to: Address, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
-        async def handle(near):
+        """Listens on a free port and connects each client to `to`; reports its address to `task_status`."""
+
+        async def handle(client):
             try:
-                far = await self.net.connect(to)
+                server = await self.net.connect(to)
             except CONNECTION_ERRORS:
-                await anyio.aclose_forcefully(near)  # nothing listens behind: nothing was passed on
+                await anyio.aclose_forcefully(client)  # nobody listens at `to`: nothing is recorded
                 return
-            await Relay(near, far, name, self.recorder, self.weather).run()
+            await ProxiedLink(client, server, name, self.recorder, self.network).run()
 
         await self.net.serve(("127.0.0.1", 0), handle, task_status=task_status)
 
     def control(self, order: dict) -> None:
+        """Carries out a JSON order. Raises ValueError for an unknown one."""
         now = anyio.current_time()
         for name, value in order.items():
             if name == "cut":
-                self.weather.cut(value)
+                self.network.cut(value)
             elif name == "heal":
-                self.weather.heal(value)
+                self.network.heal(value)
             elif name == "mark":
                 self.recorder.mark(now, *value)
             elif name in ("loss", "double", "delay"):
-                setattr(self.weather, name, float(value))
+                setattr(self.network, name, float(value))
             elif name == "flush":
                 self.recorder.flush()
             else:
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,13 +1,14 @@
-"""Whole days in memory on a mock clock: the hard cases keep the rules, and a controller that lacks a guard is caught."""
+"""Whole days in memory on a mock clock.
+
+Hard cases keep the rules of the audit, and the audit catches a controller that lacks one of its guards.
+"""
 
 import pytest
 
 from linedeal import audit
 from linedeal.controller import runtime
-from linedeal.engine import Engine
-from linedeal.engine import effects
+from linedeal.engine import Engine, effects, launches, recovery
 from linedeal.engine.engine import InvariantError
-from linedeal.engine import launches, recovery
 from linedeal.engine.launches import State
 from linedeal.interface import Mode, Result
 from linedeal.lab.day import parse_day, read_day
@@ -46,7 +47,7 @@
   effect = "irreversible"
 }
 """
-SET = """
+BASE_DAY = """
 cluster cluster.hcl
 seed 3
 length 9
@@ -61,17 +62,19 @@
 
 def day_of(tmp_path, *orders):
     (tmp_path / "cluster.hcl").write_text(CLUSTER)
-    return parse_day(SET + "\n".join(orders), "test.day", tmp_path)
+    return parse_day(BASE_DAY + "\n".join(orders), "test.day", tmp_path)
 
 
-def played(day, **rest):
-    tally, entries = play_in_memory(day, **rest)
+def play(day, **options):
+    tally, entries = play_in_memory(day, **options)
     traffic = audit.reconstruct_traffic(entries)
     return traffic, audit.find_breaches(traffic, day.cluster), tally
 
 
 def offers(traffic, host, since=0.0, until=1e9):
-    return [l for l in traffic.launches.values() if l.host == host and since <= l.t < until]
+    return [
+        launch for launch in traffic.launches.values() if launch.host == host and since <= launch.t < until
+    ]
 
 
 def start_of(traffic, what, who):
@@ -79,15 +82,20 @@
 
 
 CASES = {
-    "a host accepts and dies before its yes arrives": (
+    "a host accepts and dies before its acceptance arrives": (
         ["at 2 slow h01,h02,h03 0.3 for 4", "at 3 kill h01,h02,h03 for 1"],
-        lambda t: any(l.link_end < l.t + 0.35 and l.accepted > 1e9 for l in t.launches.values()),
+        lambda t: any(
+            launch.link_end < launch.t + 0.35 and launch.accepted > 1e9 for launch in t.launches.values()
+        ),
     ),
-    "the yes arrives after the time-out": (
+    "the acceptance arrives after the timeout": (
         ["at 2 slow hosts 1.6 for 5"],
-        lambda t: any(l.accepted > l.t + l.wait and l.accepted < 1e9 for l in t.launches.values()),
+        lambda t: any(
+            launch.accepted > launch.t + launch.wait and launch.accepted < 1e9
+            for launch in t.launches.values()
+        ),
     ),
-    "the same host is back within the time-out": (
+    "the same host is back within the timeout": (
         ["at 2 kill h01,h02,h03 for 0.2", "at 4 kill h04,h05,h06 for 0.2"],
         lambda t: len([b for h, b in t.booted if h == "h01"]) == 2,
     ),
@@ -97,9 +105,9 @@
             "at 4 cut controllers from hosts one-way for 1",
             "at 6 cut hosts from controllers one-way for 1",
         ],
-        lambda t: any(l.held_back for l in t.launches.values()),
+        lambda t: any(launch.held_back for launch in t.launches.values()),
     ),
-    "a controller stands still and goes on": (
+    "a controller is paused and resumed": (
         ["at 2 stop c1 for 5"],
         lambda t: any(w == "continue" for _, w, _ in t.marks),
     ),
@@ -109,17 +117,17 @@
     ),
     "controllers restart amid a mass restart": (
         ["at 2 kill h01,h02,h03 for 1", "at 2.5 kill c1,c2 for 1"],
-        lambda t: {l.life for l in t.launches.values()} == {1, 2} and t.found,
+        lambda t: {launch.life for launch in t.launches.values()} == {1, 2} and t.found,
     ),
     "discovery is down while hosts drain": (
         ["at 1 discovery down for 4", "at 2 drain h01,h02 for 5"],
         lambda t: True,
     ),
-    "hosts drain and send their jobs away": (
+    "hosts drain and evict their jobs": (
         ["habit drain=paced", "at 2 drain h01,h02 for 4", "at 4 deploy h04,h05 50"],
         lambda t: True,
     ),
-    "young hosts after growth and a burst": (
+    "hosts in slow start after growth and a burst": (
         ["at 1 burst 3 for 4", "at 2 grow 2 std a", "at 3 kill h02 for 1"],
         lambda t: True,
     ),
@@ -132,7 +140,7 @@
             "at 4 heavy mail 4 for 2",
             "at 5 pace h03 0.2 for 3",
         ],
-        lambda t: any(l.outcome == pb.ERROR for l in t.launches.values()),
+        lambda t: any(launch.outcome == pb.ERROR for launch in t.launches.values()),
     ),
     "the watch is lost and the list is late": (
         ["at 2 discovery lose", "at 3 discovery late 1 for 3", "at 4 drain h01"],
@@ -143,25 +151,25 @@
 
 @pytest.mark.parametrize("name", CASES)
 def test_hard_cases_keep_the_rules(tmp_path, name):
-    orders, shown = CASES[name]
-    traffic, breaches, tally = played(day_of(tmp_path, *orders))
+    orders, occurred = CASES[name]
+    traffic, breaches, tally = play(day_of(tmp_path, *orders))
     assert not breaches, [breach.text for breach in breaches[:3]]
     assert len(traffic.jobs) > 50
-    assert shown(traffic), "the day did not show what it is for"
+    assert occurred(traffic), "the case that the day is for did not occur"
 
 
 def test_a_link_that_its_controller_ends_under_a_cut_counts_as_ended_then(tmp_path):
-    # guards against an audit that holds a launch for out because the cut kept the link's end from the host
+    # guards against an audit that counts a launch as outstanding because the host has not seen the link end
     day = day_of(tmp_path, "length 14", "at 2 cut zone:a from zone:b for 7")
-    traffic, breaches, _ = played(day)
+    traffic, breaches, _ = play(day)
     assert not breaches, [breach.text for breach in breaches[:3]]
-    assert any(l.link_end < 9.9 and l.held_back for l in traffic.launches.values())
+    assert any(launch.link_end < 9.9 and launch.held_back for launch in traffic.launches.values())
 
 
-def test_a_launch_given_up_by_its_client_is_stopped_on_its_host(tmp_path):
-    traffic, breaches, _ = played(day_of(tmp_path, "at 2 slow hosts 1.2 for 6"))
-    stopped = [l for l in traffic.launches.values() if l.stopped < 1e9]
-    assert stopped and all(l.ended < 1e9 or l.refused < 1e9 for l in stopped)
+def test_a_launch_cancelled_by_its_controller_is_stopped_on_its_host(tmp_path):
+    traffic, breaches, _ = play(day_of(tmp_path, "at 2 slow hosts 1.2 for 6"))
+    stopped = [launch for launch in traffic.launches.values() if launch.stopped < 1e9]
+    assert stopped and all(launch.ended < 1e9 or launch.refused < 1e9 for launch in stopped)
 
 
 def test_the_same_day_gives_the_same_record(tmp_path):
@@ -170,19 +178,21 @@
     assert first == second
 
 
-# mutants: a controller without one of its guards has to be caught
+# mutants: the audit has to catch a controller that lacks one of its guards
+
 
+class UncheckedController(Controller):
+    """Sends launches without the checks that keep the rules."""
 
-class Ungated(Controller):
-    def needs_launch(self, track):
-        return not track.ended and track.host is None
+    def needs_launch(self, tracked):
+        return not tracked.ended and tracked.host is None
 
-    def host_allowed(self, track, host):
+    def host_allowed(self, tracked, host):
         return host.entry.mode is not Mode.GONE
 
 
-class Forgetful(Ungated):
-    """Does not hear of drains, either."""
+class DrainBlindController(UncheckedController):
+    """Ignores drains as well."""
 
     def update_host(self, entry):
         from dataclasses import replace
@@ -197,31 +207,31 @@
 @pytest.mark.parametrize(
     "rule, orders, mutant",
     [
-        (2, ["at 2 mute h01,h02,h03,h04 for 5"], Ungated),
-        (3, ["at 2 drain h01,h02,h03,h04"], Forgetful),
-        (4, ["at 2 kill h01,h02,h03,h04,h05 for 0.5", "at 2 burst 6 for 6"], Ungated),
-        (5, ["at 2 drain h01,h02,h03,h04"], Ungated),
+        (2, ["at 2 mute h01,h02,h03,h04 for 5"], UncheckedController),
+        (3, ["at 2 drain h01,h02,h03,h04"], DrainBlindController),
+        (4, ["at 2 kill h01,h02,h03,h04,h05 for 0.5", "at 2 burst 6 for 6"], UncheckedController),
+        (5, ["at 2 drain h01,h02,h03,h04"], UncheckedController),
     ],
 )
-def test_a_controller_without_its_gate_is_caught(tmp_path, rule, orders, mutant):
+def test_a_controller_without_its_checks_is_caught(tmp_path, rule, orders, mutant):
     day = day_of(tmp_path, *orders)
-    assert rule in broken_rules(played(day, policy=mutant)[1])
-    assert rule not in broken_rules(played(day)[1])
+    assert rule in broken_rules(play(day, policy=mutant)[1])
+    assert rule not in broken_rules(play(day)[1])
 
 
 def test_a_life_number_that_is_not_raised_is_caught(tmp_path, monkeypatch):
     day = day_of(tmp_path, "at 3 kill c1 for 1")
-    assert not played(day)[1]
+    assert not play(day)[1]
     monkeypatch.setattr(Store, "next_life", lambda self: 1)
     try:
-        caught = bool(played(day)[1])
-    except* InvariantError:  # it meets jobs of its own number on the hosts, and ends rather than go on
+        caught = bool(play(day)[1])
+    except* InvariantError:  # hosts report jobs of its own life that it does not know, and it ends
         caught = True
     assert caught
 
 
-class Credulous(Engine):
-    """Takes a late yes for an answer."""
+class LateAcceptanceEngine(Engine):
+    """Answers a job on a late acceptance."""
 
     def handle_late_acceptance(self, launch):
         taken = self.unanswered.get(launch.job.id)
@@ -231,8 +241,8 @@
             )
 
 
-class Forgiving(Engine):
-    """Answers nothing when a job is given up."""
+class SilentEngine(Engine):
+    """Answers only jobs that are placed."""
 
     def answer(self, job_id, verdict, host="", launch=None):
         if verdict is effects.Verdict.PLACED:
@@ -241,31 +251,34 @@
 
 @pytest.mark.parametrize(
     "mutant, rule, orders",
-    [(Credulous, 1, ["at 2 slow hosts 1.2 for 6"]), (Forgiving, 1, ["at 2 mute h01,h02 for 6"])],
+    [
+        (LateAcceptanceEngine, 1, ["at 2 slow hosts 1.2 for 6"]),
+        (SilentEngine, 1, ["at 2 mute h01,h02 for 6"]),
+    ],
 )
 def test_an_engine_without_its_guard_is_caught(tmp_path, monkeypatch, mutant, rule, orders):
     day = day_of(tmp_path, *orders)
-    assert not played(day)[1]
+    assert not play(day)[1]
     monkeypatch.setattr(runtime, "Engine", mutant)
-    assert rule in broken_rules(played(day)[1])
+    assert rule in broken_rules(play(day)[1])
 
 
-def test_an_engine_that_takes_a_broken_link_for_proof_is_caught(tmp_path, monkeypatch):
+def test_an_engine_that_takes_a_lost_link_as_proof_is_caught(tmp_path, monkeypatch):
     day = day_of(tmp_path, "at 1 slow hosts 1.4 for 8", "at 3 kill h01,h02 for 1", "at 4 kill h03,h04 for 1")
-    assert not played(day)[1]
+    assert not play(day)[1]
     monkeypatch.setattr(
         launches,
         "result_of_lost_link",
         lambda launch: Result.UNREACHABLE if launch.state is State.OUT else None,
     )
-    assert 2 in broken_rules(played(day)[1])
+    assert 2 in broken_rules(play(day)[1])
 
 
 def test_the_example_day_can_be_read():
     assert len(read_day("examples/bad-day.day").orders) > 15
 
 
-SESSIONS = SET.replace("services=6", "services=6 sessions").replace("services=3", "services=3 sessions")
+SESSIONS = BASE_DAY.replace("services=6", "services=6 sessions").replace("services=3", "services=3 sessions")
 KILLS = [
     "at 2 mute h01,h02 for 3",
     "at 3 kill controllers for 1",
@@ -279,8 +292,8 @@
     return parse_day(SESSIONS + "\n".join(orders), "test.day", tmp_path)
 
 
-def test_sessions_jobs_are_answered_over_kills(tmp_path):
-    traffic, breaches, tally = played(session_day(tmp_path, *KILLS))
+def test_jobs_of_sessions_are_answered_over_kills(tmp_path):
+    traffic, breaches, tally = play(session_day(tmp_path, *KILLS))
     assert not breaches
     assert (
         all(job.session and (job.answers or job.status_verdicts) for job in traffic.jobs.values())
@@ -289,24 +302,24 @@
     assert not any(end in ("no answer", "unknown") for ends in tally.ends.values() for end in ends)
 
 
-class Forgetful(runtime.Runtime):
-    """Does not read its journal."""
+class JournallessRuntime(runtime.Runtime):
+    """Does not read its journal at the start."""
 
     def recover(self):
         self.engine.recover((), ())
 
 
-def test_a_controller_that_forgets_its_journal_is_caught(tmp_path):
+def test_a_controller_that_does_not_read_its_journal_is_caught(tmp_path):
     from linedeal.lab.inprocess import PausableRuntime
 
-    class Both(Forgetful, PausableRuntime):
+    class PausableJournallessRuntime(JournallessRuntime, PausableRuntime):
         pass
 
-    assert 1 in broken_rules(played(session_day(tmp_path, *KILLS), runtime=Both)[1])
+    assert 1 in broken_rules(play(session_day(tmp_path, *KILLS), runtime=PausableJournallessRuntime)[1])
 
 
-def test_a_recovery_that_takes_silence_for_proof_is_caught(tmp_path, monkeypatch):
-    # guards against a second effect: a launch of an earlier life is out until its host has spoken
+def test_a_recovery_that_takes_silence_as_proof_is_caught(tmp_path, monkeypatch):
+    # guards against a second effect: a launch of an earlier life is outstanding until its host has reported
     day = session_day(
         tmp_path,
         "at 1 slow hosts 1.5 for 8",
@@ -314,6 +327,6 @@
         "at 3 kill hosts for 4",
         "at 5 kill controllers for 0.2",
     )
-    assert not played(day)[1]
+    assert not play(day)[1]
     monkeypatch.setattr(recovery, "may_have_run", lambda launch, accounts: False)
-    assert 2 in broken_rules(played(day)[1])
+    assert 2 in broken_rules(play(day)[1])
