--- a/linedeal/lab/day.py
+++ b/linedeal/lab/day.py
@@ -310,7 +310,7 @@
         hosts = {host.name for host in self.hosts}
         who = tuple(name for name in self.resolve_names(rest[1]) if name in hosts)
         if not who:
-            raise ValueError("a campaign is over hosts")
+            raise ValueError("a campaign needs hosts")
         types = {field.name: type(field.default) for field in fields(Bounds)}
         for word in rest[2:]:
             key, _, value = word.partition("=")
--- a/linedeal/lab/tap.py
+++ b/linedeal/lab/tap.py
@@ -26,7 +26,7 @@
     """
 
     def __init__(self, seed: int = 1):
-        """Begins without faults. `seed`: for the fate of the council's packets."""
+        """Begins without faults. `seed`: for the random faults of the council's packets."""
         self.cuts: set[tuple[str, str]] = set()  # (from, to)
         self.changed = anyio.Event()
         # for the council's packets: share lost, share duplicated, and maximum delay in seconds
