--- a/linedeal/fleet/__init__.py
+++ b/linedeal/fleet/__init__.py
@@ -1,3 +1,5 @@
-"""The council and its duties in a controller's process: links to the other members, the disk, what controllers and
-operators ask. Imports the cores; nothing of a job's way imports this.
+"""The council and the duties inside a controller's process.
+
+Links to the other members, the member's database, and what controllers and operators request. This package
+imports the state machines of `council` and `duties`; nothing that places jobs imports this package.
 """
--- a/linedeal/fleet/codec.py
+++ b/linedeal/fleet/codec.py
@@ -1,14 +1,15 @@
-"""The council's packets and records as bytes: msgpack, read back strictly into the same frozen records."""
+"""Encodes the council's packets and stored records in msgpack, and decodes them strictly."""
 
 import msgspec
 
 from linedeal.council import records
-from linedeal.council.records import Identity, ReplicaVersion, Packet, Roster, Slot
+from linedeal.council.records import Identity, Packet, ReplicaVersion, Roster, Slot
 from linedeal.net import FrameError
 
-KINDS = {
-    kind.__name__: kind
-    for kind in (
+# message types by the name that is sent
+MESSAGE_TYPES = {
+    message_type.__name__: message_type
+    for message_type in (
         records.Look,
         records.Looked,
         records.Prepare,
@@ -27,8 +28,10 @@
         records.Agreed,
     )
 }
-Form = tuple[str, ReplicaVersion, int, str, msgspec.Raw]
-KEPT = {
+# cluster, sender, epoch, message type, and the message itself
+PacketFields = tuple[str, ReplicaVersion, int, str, msgspec.Raw]
+# types of the stored records by name; registers have names "slot/..."
+RECORD_TYPES = {
     "life": int,
     "writes": int,
     "retired": str,
@@ -41,10 +44,11 @@
 }
 
 
-def packed(packet: Packet) -> bytes:
-    """
+def encode_packet(packet: Packet) -> bytes:
+    """Encodes a packet for the link to another member.
+
     >>> packet = Packet("lapa", ReplicaVersion("a", 1, 2, 3, 4, 5), 1, records.Look(7, "k"))
-    >>> unpacked(packed(packet)) == packet
+    >>> decode_packet(encode_packet(packet)) == packet
     True
     """
     return msgspec.msgpack.encode(
@@ -52,21 +56,22 @@
     )
 
 
-def unpacked(data: bytes) -> Packet:
-    """Raises FrameError."""
+def decode_packet(data: bytes) -> Packet:
+    """Decodes a packet. Raises FrameError."""
     try:
-        cluster, mark, epoch, kind, body = msgspec.msgpack.decode(data, type=Form)
-        if kind not in KINDS:
-            raise FrameError(f"no packet of a council is called {kind[:40]!r}")
-        return Packet(cluster, mark, epoch, msgspec.msgpack.decode(body, type=KINDS[kind]))
+        cluster, sender, epoch, kind, body = msgspec.msgpack.decode(data, type=PacketFields)
+        if kind not in MESSAGE_TYPES:
+            raise FrameError(f"unknown type of council packet: {kind[:40]!r}")
+        return Packet(cluster, sender, epoch, msgspec.msgpack.decode(body, type=MESSAGE_TYPES[kind]))
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise FrameError(f"no packet of a council: {error}") from None
+        raise FrameError(f"malformed council packet: {error}") from None
 
 
-def kept(value) -> bytes:
+def encode_record(value) -> bytes:
+    """Encodes a record for the member's database."""
     return msgspec.msgpack.encode(value)
 
 
-def read_back(name: str, data: bytes):
-    """Raises msgspec.DecodeError, or KeyError for a record that no version wrote."""
-    return msgspec.msgpack.decode(data, type=Slot if name.startswith("slot/") else KEPT[name])
+def decode_record(name: str, data: bytes):
+    """Decodes a stored record. Raises msgspec.DecodeError, or KeyError if no version writes that name."""
+    return msgspec.msgpack.decode(data, type=Slot if name.startswith("slot/") else RECORD_TYPES[name])
--- a/linedeal/fleet/council_client.py
+++ b/linedeal/fleet/council_client.py
@@ -1,8 +1,8 @@
-"""Asks the council, from a controller or a command: one member after the other, until one answers."""
+"""The council's client, for controllers and commands: tries one member after the other until one answers."""
 
 import itertools
+from collections.abc import Callable
 from dataclasses import dataclass
-from typing import Callable
 
 import anyio
 
@@ -12,135 +12,165 @@
 from linedeal.protocol import VERSION, encode, pb
 from linedeal.settings.records import CouncilSettings
 
-CONNECT = 0.5  # seconds for a link to a member
-SLICE = 0.7  # seconds that one member has before the next is asked too
-PAUSE = 0.05  # seconds from one that did not answer to the next
-NO_ANSWER = (Outcome.BUSY, Outcome.UNREADY, Outcome.UNKNOWN)  # another member may have one
+CONNECT_TIMEOUT = 0.5  # seconds for a link to a member
+MEMBER_TIMEOUT = 0.7  # seconds that one member has to answer before the next one is tried
+RETRY_DELAY = 0.05  # seconds between a member that did not answer and the next
+RETRYABLE_OUTCOMES = (Outcome.BUSY, Outcome.UNREADY, Outcome.UNKNOWN)  # another member may have an answer
 
 
 class CouncilRequestError(Exception):
-    """What was asked cannot be; one plain line, from the member."""
+    """A member refused a request that the council can never carry out; the message is one plain line."""
 
 
 @dataclass(frozen=True, slots=True)
 class CouncilReply:
+    """The council's answer to a request."""
+
     outcome: Outcome
     value: Value
-    by: str  # the member that answered; empty: none did
-    silent: tuple[str, ...] = ()  # members that were asked and said nothing, with why
+    member: str  # the member that answered; empty: none did
+    unanswered: tuple[str, ...] = ()  # members that were asked and had no answer, each with the reason
 
 
 class CouncilClient:
-    """Use as an async context manager inside a task group's life. One link a member, made when it is needed."""
+    """Sends requests to the members of the council, over one link per member, made when it is needed.
+
+    An async context manager: links run in a task group that lives as long as the block. `name` is a
+    controller's name and life, or tells who asks. `jitter` returns numbers in [0, 1).
+    """
 
     def __init__(
-        self, settings: CouncilSettings, name: str, token: str, net: Net, spread: Callable[[], float]
+        self, settings: CouncilSettings, name: str, token: str, net: Net, jitter: Callable[[], float]
     ):
+        """`token` proves to a member that the client belongs to the cluster."""
         self.settings, self.name, self.net = settings, name, net
-        # askers spread over the members; a member asks itself last, so that what it reported is known when it is gone
-        self.own = name.partition("/")[0]
-        self.order = sorted(settings.places, key=lambda member: (member == self.own, spread()))
+        # Clients are spread over the members. A member's own process asks itself last: a report that only it
+        # had would be lost with it, and nobody would notice that it is gone.
+        self.own_member = name.partition("/")[0]
+        self.members = sorted(settings.places, key=lambda member: (member == self.own_member, jitter()))
         self.hello = encode(
             pb.Hello(version=VERSION, role=pb.CONTROLLER, name=name, session=settings.id, token=token)
         )
         self.links: dict[str, MemberLink] = {}
-        self.numbers = itertools.count(1)
+        self.request_numbers = itertools.count(1)
 
     async def __aenter__(self):
+        """Opens the task group of the links."""
         self.tasks = anyio.create_task_group()
         await self.tasks.__aenter__()
         return self
 
     async def __aexit__(self, *error):
+        """Closes all links. An exception of the block is raised as it is, not inside an exception group."""
         self.tasks.cancel_scope.cancel()
         try:
             return await self.tasks.__aexit__(*error)
         except BaseExceptionGroup as group:
-            if group.exceptions == (error[1],):  # the body's own: whoever called it knows that one
+            if group.exceptions == (
+                error[1],
+            ):  # only the block's own exception, which its caller expects bare
                 raise error[1] from None
             raise
 
-    async def read(self, key: str, within: float) -> CouncilReply:
-        return await self.ask(pb.CouncilAsk(kind=pb.READ, key=key), within)
+    async def read(self, key: str, timeout: float) -> CouncilReply:
+        """Reads a register, within `timeout` seconds. Raises CouncilRequestError."""
+        return await self.request(pb.CouncilAsk(kind=pb.READ, key=key), timeout)
+
+    async def change(self, key: str, change: Change, timeout: float) -> CouncilReply:
+        """Changes a register, within `timeout` seconds. Raises CouncilRequestError.
 
-    async def change(self, key: str, change: Change, within: float) -> CouncilReply:
-        """UNKNOWN: it may or may not have been made; ask the same again."""
-        return await self.ask(
+        After the outcome UNKNOWN the change may have been made or not; repeat it with the same id.
+        """
+        return await self.request(
             pb.CouncilAsk(kind=pb.CHANGE, key=key, id=change.id, expect=change.expect, body=change.body),
-            within,
+            timeout,
         )
 
-    async def ask(self, said: pb.CouncilAsk, within: float) -> CouncilReply:
-        """From the member that answered last on; raises CouncilRequestError."""
-        until = anyio.current_time() + within
-        silent: dict[str, str] = {}  # why each that was asked has no answer, last heard last
-        for member in itertools.cycle(tuple(self.order)):
-            left = until - anyio.current_time()
-            if left <= 0:
-                return CouncilReply(Outcome.UNKNOWN, Value(), "", lines(silent))
-            silent.pop(member, None)
+    async def request(self, message: pb.CouncilAsk, timeout: float) -> CouncilReply:
+        """Sends a request to one member after the other, first to the one that answered last.
+
+        The outcome is UNKNOWN if none answers within `timeout` seconds. Raises CouncilRequestError.
+        """
+        deadline = anyio.current_time() + timeout
+        unanswered: dict[
+            str, str
+        ] = {}  # why each member has no answer, the one that was asked last at the end
+        for member in itertools.cycle(tuple(self.members)):
+            remaining = deadline - anyio.current_time()
+            if remaining <= 0:
+                return CouncilReply(Outcome.UNKNOWN, Value(), "", format_unanswered(unanswered))
+            unanswered.pop(member, None)
             try:
-                told = await self.ask_one(member, said, min(left, SLICE))
-                outcome = Outcome[told.outcome]
-                if outcome not in NO_ANSWER:
+                reply = await self.send_request(member, message, min(remaining, MEMBER_TIMEOUT))
+                outcome = Outcome[reply.outcome]
+                if outcome not in RETRYABLE_OUTCOMES:
                     break
-                silent[member] = outcome.value
+                unanswered[member] = outcome.value
             except LinkLostError as error:
-                silent[member] = str(error)
-            await anyio.sleep(min(PAUSE, left))
-        if self.order[0] != member and member != self.own:  # itself stays last, also where it alone was up
-            self.order.remove(member)
-            self.order.insert(0, member)
-        return CouncilReply(outcome, Value(told.version, told.body), member, lines(silent))
-
-    async def ask_member(self, member: str, said: pb.CouncilAsk, within: float) -> pb.CouncilTold | None:
-        """This member and no other; None where it does not answer."""
+                unanswered[member] = str(error)
+            await anyio.sleep(min(RETRY_DELAY, remaining))
+        if self.members[0] != member and member != self.own_member:  # the own member stays last in any case
+            self.members.remove(member)
+            self.members.insert(0, member)
+        return CouncilReply(outcome, Value(reply.version, reply.body), member, format_unanswered(unanswered))
+
+    async def request_member(
+        self, member: str, message: pb.CouncilAsk, timeout: float
+    ) -> pb.CouncilTold | None:
+        """Sends a request to this member only; None if it does not answer in time or refuses."""
         try:
-            return await self.ask_one(member, said, within)
+            return await self.send_request(member, message, timeout)
         except (LinkLostError, CouncilRequestError):
             return None
 
-    async def ask_one(self, member: str, said: pb.CouncilAsk, within: float) -> pb.CouncilTold:
-        """Raises LinkLostError where it does not answer in time, CouncilRequestError where it refuses."""
+    async def send_request(self, member: str, message: pb.CouncilAsk, timeout: float) -> pb.CouncilTold:
+        """Sends a copy of `message` to a member, and returns its reply.
+
+        Raises LinkLostError if it does not answer within `timeout` seconds, CouncilRequestError if it
+        refuses.
+        """
         link = self.links.get(member)
         if link is None or link.lost:
             link = self.links[member] = MemberLink()
             self.tasks.start_soon(link.run, self.net, self.settings.places[member], self.hello)
-        mine = pb.CouncilAsk()
-        mine.CopyFrom(said)
-        mine.number, mine.within = next(self.numbers), within
-        told = await link.ask(mine, within)
-        if told.outcome == "FAULT":
-            raise CouncilRequestError(f"{member}: {told.body.decode(errors='replace')}")
-        if told.outcome not in Outcome.__members__:
-            raise LinkLostError(f"an outcome of a later version: {told.outcome[:40]}")
-        return told
+        numbered = pb.CouncilAsk()
+        numbered.CopyFrom(message)
+        numbered.number, numbered.within = next(self.request_numbers), timeout
+        reply = await link.request(numbered, timeout)
+        if reply.outcome == "FAULT":
+            raise CouncilRequestError(f"{member}: {reply.body.decode(errors='replace')}")
+        if reply.outcome not in Outcome.__members__:
+            raise LinkLostError(f"unknown outcome, of a later version: {reply.outcome[:40]}")
+        return reply
 
 
-def lines(silent: dict[str, str]) -> tuple[str, ...]:
-    return tuple(f"{member}: {why}" for member, why in silent.items())
+def format_unanswered(reasons: dict[str, str]) -> tuple[str, ...]:
+    """Returns a line for each member that did not answer."""
+    return tuple(f"{member}: {reason}" for member, reason in reasons.items())
 
 
 class MemberLink:
-    """One link to one member, for any number of asks at once."""
+    """One link to one member, for any number of concurrent requests."""
 
     def __init__(self):
-        self.lost = ""
+        """The link is opened by `run`."""
+        self.lost = ""  # the reason, once it is lost
         self.link = None
-        self.writing = anyio.Lock()  # one frame at a time: several duties ask at once
+        self.write_lock = anyio.Lock()  # one frame at a time: several duties send concurrently
         self.ready, self.ended = anyio.Event(), anyio.Event()
-        self.waiting: dict[int, tuple[anyio.Event, list]] = {}
+        self.waiting: dict[int, tuple[anyio.Event, list]] = {}  # by the request's number
 
     async def run(self, net: Net, address: Address, hello: bytes) -> None:
+        """Opens the link and passes replies to their requests, until the link is lost."""
         try:
-            self.link = await open_to_member(net, address, hello, CONNECT)
+            self.link = await open_to_member(net, address, hello, CONNECT_TIMEOUT)
             try:
                 self.ready.set()
                 while True:
-                    for told in await self.link.receive_all():
-                        if isinstance(told, pb.CouncilTold) and told.number in self.waiting:
-                            event, got = self.waiting[told.number]
-                            got.append(told)
+                    for message in await self.link.receive_all():
+                        if isinstance(message, pb.CouncilTold) and message.number in self.waiting:
+                            event, replies = self.waiting[message.number]
+                            replies.append(message)
                             event.set()
             finally:
                 await self.link.close()
@@ -152,17 +182,21 @@
             for event, _ in self.waiting.values():
                 event.set()
 
-    async def ask(self, said: pb.CouncilAsk, within: float) -> pb.CouncilTold:
-        event, got = self.waiting[said.number] = anyio.Event(), []
+    async def request(self, message: pb.CouncilAsk, timeout: float) -> pb.CouncilTold:
+        """Sends a numbered request and returns the reply.
+
+        Raises LinkLostError if the link is lost first, or after `timeout` seconds.
+        """
+        event, replies = self.waiting[message.number] = anyio.Event(), []
         try:
-            with anyio.move_on_after(within):
+            with anyio.move_on_after(timeout):
                 await self.ready.wait()
                 if not self.lost:
-                    async with self.writing:
-                        await self.link.send(encode(said), within)
+                    async with self.write_lock:
+                        await self.link.send(encode(message), timeout)
                     await event.wait()
-            if not got:
-                raise LinkLostError(self.lost or f"no answer within {within:g} s")
-            return got[0]
+            if not replies:
+                raise LinkLostError(self.lost or f"no answer within {timeout:g} s")
+            return replies[0]
         finally:
-            del self.waiting[said.number]
+            del self.waiting[message.number]
--- a/linedeal/fleet/hosts.py
+++ b/linedeal/fleet/hosts.py
@@ -1,48 +1,52 @@
-"""The hosts as one controller has them by its list, for the campaign and for operators."""
+"""The hosts as one controller knows them from its host list, for the campaign and for operators."""
 
 from dataclasses import dataclass, field
 
 import msgspec
 
-from linedeal.duties.campaign import Mode, HostState
+from linedeal.duties.campaign import HostState, Mode
 from linedeal.duties.duty import DutyError
 
 
 @dataclass(frozen=True, slots=True)
 class HostNow:
+    """A host as the controller knows it at this moment. The field names are sent."""
+
     kind: str
     zone: str
     cell: int
     mode: Mode
     boot: int
-    age: float  # seconds since that boot, by this controller's reckoning
-    address: str  # HOST:PORT; empty: none is known
+    age: float  # seconds since that boot, by this controller's clock
+    address: str  # HOST:PORT; empty: not known
 
     @property
-    def seen(self) -> HostState:
+    def state(self) -> HostState:
+        """The part that the campaign uses."""
         return HostState(self.mode, self.boot, self.age)
 
 
 @dataclass(frozen=True, slots=True)
 class HostsNow:
-    """`age`: seconds since the list was last heard, whatever it said."""
+    """All hosts by name. The field names are sent."""
 
     hosts: dict[str, HostNow] = field(default_factory=dict)
-    age: float = 0.0
+    age: float = 0.0  # seconds since the host list was received last, changed or not
 
 
-def encoded_hosts(hosts: HostsNow) -> bytes:
-    """
+def encode_hosts(hosts: HostsNow) -> bytes:
+    """Encodes the hosts for the reply to an operator.
+
     >>> now = HostsNow({"h1": HostNow("std", "a", 1, Mode.SERVES, 7, 2.0, "10.0.0.1:80")}, 0.5)
-    >>> read_hosts(encoded_hosts(now)) == now
+    >>> decode_hosts(encode_hosts(now)) == now
     True
     """
     return msgspec.msgpack.encode(hosts)
 
 
-def read_hosts(body: bytes) -> HostsNow:
-    """Raises DutyError."""
+def decode_hosts(body: bytes) -> HostsNow:
+    """Decodes the hosts. Raises DutyError."""
     try:
         return msgspec.msgpack.decode(body, type=HostsNow)
     except msgspec.DecodeError as error:
-        raise DutyError(f"no list of hosts: {error}") from None
+        raise DutyError(f"malformed list of hosts: {error}") from None
--- a/linedeal/fleet/isolation.py
+++ b/linedeal/fleet/isolation.py
@@ -1,24 +1,31 @@
-"""Runs the fleet's part of a controller so that no fault of it ends the controller: placing jobs does not depend on it."""
+"""Runs the council and the duties so that a failure of theirs never ends the controller.
+
+Placing jobs must not depend on them.
+"""
 
 import traceback
-from typing import Awaitable, Callable
+from collections.abc import Awaitable, Callable
 
 import anyio
 
 RESTART_DELAY = (
     1.0,
     60.0,
-)  # seconds after a fault until it is begun anew, doubled from the first to the second
+)  # seconds until the restart after a failure: the first, and the limit as it doubles
 
 
 async def run_isolated(where: str, work: Callable[[], Awaitable[None]], log) -> None:
-    """Until it ends by itself. A fault ends what it was at, and it begins anew: what it owned, others take over."""
-    pause = RESTART_DELAY[0]
+    """Runs `work` until it returns, and restarts it after any exception.
+
+    Each exception is logged with `where`. A duty that the failed run owned passes to another controller when
+    its lease expires.
+    """
+    delay = RESTART_DELAY[0]
     while True:
         try:
             await work()
             return
         except Exception:
             log.error("fault", where=where, trace=traceback.format_exc())
-        await anyio.sleep(pause)
-        pause = min(2 * pause, RESTART_DELAY[1])
+        await anyio.sleep(delay)
+        delay = min(2 * delay, RESTART_DELAY[1])
--- a/linedeal/fleet/peer_link.py
+++ b/linedeal/fleet/peer_link.py
@@ -1,10 +1,11 @@
-"""Links from a member of the council to the others: one a peer, each with a bound of its own.
+"""Links from a member of the council to the others: one for each peer, each with a bounded queue.
 
-What one sends may be lost, late or doubled, so nothing is kept for a peer that is away: what waits for it longest goes.
+Packets may be lost, delayed or duplicated, so nothing is stored for a peer that cannot be reached: when its
+queue is full, the oldest packet is dropped.
 """
 
 from collections import deque
-from typing import Callable
+from collections.abc import Callable
 
 import anyio
 
@@ -13,15 +14,18 @@
 from linedeal.net import Address, FrameError, Link, LinkLostError, Net, open_link, run_until_link_lost
 from linedeal.protocol import FrameReader, encode, pb
 
-QUEUE = 512  # packets that wait for one peer
-CONNECT = 1.0  # seconds for a link to stand
-SEND = 2.0  # seconds for the peer to make room for what is written
-AGAIN = (0.1, 2.0)  # seconds until the next try, doubled from the first to the second
+MAX_QUEUED_PACKETS = 512  # that wait for one peer
+CONNECT_TIMEOUT = 1.0  # seconds until the peer has answered the hello
+SEND_TIMEOUT = 2.0  # seconds for the peer to accept what is sent
+RECONNECT_DELAY = (0.1, 2.0)  # seconds until the next attempt: the first, and the limit as it doubles
 
 
-async def open_to_member(net: Net, address: Address, hello: bytes, within: float) -> Link:
-    """A link that a member has welcomed. Raises LinkLostError, with its reason where it told one; no link is left open."""
-    link, welcome = await open_link(net, address, FrameReader(), hello, within)
+async def open_to_member(net: Net, address: Address, hello: bytes, timeout: float) -> Link:
+    """Opens a link to a member, and returns it once the member has accepted it.
+
+    Raises LinkLostError, with the member's reason if it sent one; the link is closed then.
+    """
+    link, welcome = await open_link(net, address, FrameReader(), hello, timeout)
     if not isinstance(welcome, pb.Welcome):
         await link.close()
         raise LinkLostError(
@@ -31,58 +35,68 @@
 
 
 class PeerLink:
-    def __init__(self, name: str, address: Address, hello: bytes, net: Net, spread: Callable[[], float], log):
-        self.name, self.address, self.hello, self.net, self.spread, self.log = (
+    """Sends packets to one other member and reconnects when the link is lost."""
+
+    def __init__(self, name: str, address: Address, hello: bytes, net: Net, jitter: Callable[[], float], log):
+        """`name` is the peer's. `jitter` returns numbers in [0, 1)."""
+        self.name, self.address, self.hello, self.net, self.jitter, self.log = (
             name,
             address,
             hello,
             net,
-            spread,
+            jitter,
             log,
         )
-        self.outbox: deque[Packet] = deque(maxlen=QUEUE)
+        self.outbox: deque[Packet] = deque(maxlen=MAX_QUEUED_PACKETS)
         self.wake = anyio.Event()
         self.up = False
 
     def send(self, packet: Packet) -> None:
+        """Queues a packet."""
         self.outbox.append(packet)
         self.wake.set()
 
     async def run(self) -> None:
-        pause = AGAIN[0]
+        """Connects when there is something to send, and sends it. Runs until cancelled."""
+        delay = RECONNECT_DELAY[0]
         while True:
             await self.wake.wait()
             try:
-                link = await open_to_member(self.net, self.address, self.hello, CONNECT)
+                link = await open_to_member(self.net, self.address, self.hello, CONNECT_TIMEOUT)
                 try:
-                    self.up, pause = True, AGAIN[0]
-                    self.log.info("council link stands", peer=self.name)
+                    self.up, delay = True, RECONNECT_DELAY[0]
+                    self.log.info("council link up", peer=self.name)
                     await run_until_link_lost(self.write(link), self.read(link))
                 finally:
                     await link.close()
             except LinkLostError as error:
-                if self.up or pause >= AGAIN[1]:
+                if self.up or delay >= RECONNECT_DELAY[1]:
                     self.log.warning("council link down", peer=self.name, reason=str(error))
             self.up = False
-            self.outbox.clear()  # old by the time there is a link again, and said anew then
+            # stale by the time there is a link again, when the member sends what is still needed anew
+            self.outbox.clear()
             self.wake = anyio.Event()
-            await anyio.sleep(pause * (0.75 + 0.5 * self.spread()))
-            pause = min(2 * pause, AGAIN[1])
+            await anyio.sleep(delay * (0.75 + 0.5 * self.jitter()))
+            delay = min(2 * delay, RECONNECT_DELAY[1])
 
     async def write(self, link) -> None:
+        """Sends queued packets. Raises LinkLostError."""
         while True:
             await self.wake.wait()
             self.wake = anyio.Event()
             while self.outbox:
                 try:
-                    data = encode(pb.CouncilPacket(packet=codec.packed(self.outbox.popleft())))
+                    data = encode(pb.CouncilPacket(packet=codec.encode_packet(self.outbox.popleft())))
                 except FrameError as error:
                     raise LinkLostError(str(error)) from None
-                await link.send(data, SEND)
+                await link.send(data, SEND_TIMEOUT)
 
     async def read(self, link) -> None:
-        """The peer says nothing here but goodbye: its packets come on the link that it makes."""
+        """Waits for the end of the link, and raises LinkLostError with the peer's reason if it sends one.
+
+        The peer sends nothing else here: its own packets arrive on the link that it opens itself.
+        """
         message = await link.receive()
         raise LinkLostError(
-            getattr(message, "reason", "") or f"{type(message).__name__} from a peer that was to listen"
+            getattr(message, "reason", "") or f"{type(message).__name__} from a peer that sends nothing here"
         )
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -83,7 +83,7 @@
     async def status(self) -> dict:
         found = {}
         for member in ("c1", "c2", "c3"):
-            told = await self.asker.ask_member(member, pb.CouncilAsk(kind=pb.STATUS), 1.0)
+            told = await self.asker.request_member(member, pb.CouncilAsk(kind=pb.STATUS), 1.0)
             found[member] = json.loads(told.body) if told is not None else None
         return found
 
@@ -141,18 +141,18 @@
         settings = CouncilSettings("x", places={name: ("127.0.0.1", 9) for name in ("c1", "c2", "c3")})
         async with CouncilClient(settings, "c1/1", "", TcpNet(), lambda: 0.5) as asker:
 
-            async def ask_one(member, said, within):
+            async def send_request(member, said, within):
                 asked.append(member)
                 if member not in up:
                     raise LinkLostError("not up yet")
                 return pb.CouncilTold(outcome="READ")
 
-            asker.ask_one = ask_one
+            asker.send_request = send_request
             up.add("c1")
-            assert (await asker.ask(pb.CouncilAsk(kind=pb.READ), 5.0)).by == "c1"
+            assert (await asker.request(pb.CouncilAsk(kind=pb.READ), 5.0)).member == "c1"
             up.update(("c2", "c3"))
-            assert (await asker.ask(pb.CouncilAsk(kind=pb.READ), 5.0)).by == "c2"
-            assert (await asker.ask(pb.CouncilAsk(kind=pb.READ), 5.0)).by == "c2"
+            assert (await asker.request(pb.CouncilAsk(kind=pb.READ), 5.0)).member == "c2"
+            assert (await asker.request(pb.CouncilAsk(kind=pb.READ), 5.0)).member == "c2"
 
     anyio.run(main)
     assert asked == ["c2", "c3", "c1", "c2", "c2"]
@@ -244,7 +244,7 @@
         token = fleet.token()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(operator.hand_over, fleet.asker, CENSUS_DUTY, "", 8.0)
-            told = await fleet.asker.ask(pb.CouncilAsk(kind=pb.REPLACE, key="c3", id="c3"), 8.0)
+            told = await fleet.asker.request(pb.CouncilAsk(kind=pb.REPLACE, key="c3", id="c3"), 8.0)
         assert told.outcome is Outcome.DONE
         await until_status(fleet, "c3", lambda stands: stands["votes"] and stands["epoch"] == 2)
         await fleet.until(lambda: fleet.token() > token and fleet.results[-1].token > token)
@@ -314,7 +314,7 @@
         await fleet.ground.set_paused("c3", True)
         await anyio.sleep(2 * LEASE)
         told = await fleet.asker.change("x", Change("x1", 0, b"x"), 3.5)
-        assert told.outcome is Outcome.UNKNOWN and {one.partition(":")[0] for one in told.silent} == {
+        assert told.outcome is Outcome.UNKNOWN and {one.partition(":")[0] for one in told.unanswered} == {
             "c1",
             "c2",
             "c3",
@@ -348,7 +348,7 @@
         await fleet.ground.start("c3")
         await until_status(fleet, "c3", lambda stands: not stands["epoch"] and stands["elsewhere"])
         await until_status(fleet, "c1", lambda stands: "c3" in stands["candidates"])
-        told = await fleet.asker.ask(pb.CouncilAsk(kind=pb.REPLACE, key="c3", id="c3"), 5.0)
+        told = await fleet.asker.request(pb.CouncilAsk(kind=pb.REPLACE, key="c3", id="c3"), 5.0)
         assert told.outcome is Outcome.DONE
         await until_status(fleet, "c3", lambda stands: stands["votes"] and stands["epoch"] == 2)
         await fleet.ground.set_paused("c1", True)
@@ -378,8 +378,8 @@
 
                     monkeypatch.setattr(CouncilStore, "write", full)
                     change = pb.CouncilAsk(kind=pb.CHANGE, key="x", id="x2", expect=1, body=b"y")
-                    told = await asker.ask_member("c1", change, 0.9)
-                    assert told.outcome == "UNKNOWN" and not council.asks
+                    told = await asker.request_member("c1", change, 0.9)
+                    assert told.outcome == "UNKNOWN" and not council.pending
                     assert (await asker.change("x", Change("x2", 1, b"y"), 5.0)).outcome is Outcome.DONE
             tasks.cancel_scope.cancel()
 
--- a/tests/test_release.py
+++ b/tests/test_release.py
@@ -115,7 +115,7 @@
     async def all_vote(self):
         async with self.ground.operator.council_client() as asker:
             told = [
-                await asker.ask_member(member, pb.CouncilAsk(kind=pb.STATUS), 1.0)
+                await asker.request_member(member, pb.CouncilAsk(kind=pb.STATUS), 1.0)
                 for member in ("c1", "c2", "c3")
             ]
         return all(one is not None and json.loads(one.body)["votes"] for one in told)
@@ -231,7 +231,7 @@
         assert 0 < done < 3
         await operator.change_campaign("r1", "resume")
         await release.until(release.over, 60)
-        with pytest.raises(DutyError, match="r1 has been"):
+        with pytest.raises(DutyError, match="r1 has run already"):
             await operator.start_campaign("r1", ("h01",), {})
         with pytest.raises(DutyError, match="not among the hosts that serve: h03"):
             await operator.start_campaign("r2", ("h02", "h03"), {})
