--- a/linedeal/fleet/council_client.py
+++ b/linedeal/fleet/council_client.py
@@ -36,7 +36,7 @@
     """Sends requests to the members of the council, over one link per member, made when it is needed.
 
     An async context manager: links run in a task group that lives as long as the block. `name` is a
-    controller's name and life, or tells who asks. `jitter` returns numbers in [0, 1).
+    controller's name and life, or says who else asks. `jitter` returns numbers in [0, 1).
     """
 
     def __init__(
--- a/linedeal/fleet/council_service.py
+++ b/linedeal/fleet/council_service.py
@@ -1,8 +1,8 @@
 """Runs a member of the council: passes packets and requests to its state machine and carries out the effects.
 
 Everything that one step persists is written in one commit, before the step's packets and replies are sent;
-meanwhile the next step's input collects. A disk failure ends the member's life, and the next life starts from
-what is on disk.
+input for the next step accumulates during the write. A disk failure ends the member's life, and the next life
+starts from what is on disk.
 """
 
 import json
--- a/linedeal/fleet/operator.py
+++ b/linedeal/fleet/operator.py
@@ -1,5 +1,5 @@
 """What operators do with campaigns and duties, for the commands and for day files: plan a campaign, read its
-status, pause, resume or abort it, hand a duty over.
+status, pause, resume or abort it, or hand a duty over.
 
 `timeout` is always the limit in seconds for the whole call.
 """
--- a/linedeal/fleet/peer_link.py
+++ b/linedeal/fleet/peer_link.py
@@ -73,7 +73,7 @@
                 if self.up or delay >= RECONNECT_DELAY[1]:
                     self.log.warning("council link down", peer=self.name, reason=str(error))
             self.up = False
-            # stale by the time there is a link again, when the member sends what is still needed anew
+            # stale by the time there is a link again; the member repeats what is still needed
             self.outbox.clear()
             self.wake = anyio.Event()
             await anyio.sleep(delay * (0.75 + 0.5 * self.jitter()))
--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -1,5 +1,7 @@
-"""Campaigns without processes: what may be done next, courses in simulated time with each guard taken out, and the audit
-on records made by hand."""
+"""Campaigns without processes: decisions, campaigns in simulated time, and the audit on hand-made records.
+
+The simulated campaigns are also run with each safety check removed in turn, which must be detected.
+"""
 
 from dataclasses import replace
 
@@ -10,19 +12,19 @@
 from linedeal.duties import campaign, duty
 from linedeal.duties.campaign import (
     Bounds,
+    ClusterView,
     DrainState,
+    HostState,
+    HostUpdate,
     Mode,
     Plan,
     Progress,
-    HostState,
     Stage,
-    HostUpdate,
-    ClusterView,
     Want,
     batches,
-    validate,
     decide,
     make_plan,
+    validate,
 )
 from linedeal.duties.campaign_runner import CampaignRunner, OrderKind, OrderReply
 from linedeal.duties.census import Census
@@ -43,21 +45,22 @@
 
 
 def view(**changed) -> ClusterView:
-    """All serve at boot 1 but those named: a Mode, or a HostState."""
-    seen = {host: HostState(Mode.SERVES, 1, 1000.0) for host in FLEET}
-    for host, stands in changed.items():
-        seen[host] = stands if isinstance(stands, HostState) else HostState(stands, 1, 1000.0)
-    return ClusterView(seen)
+    """All hosts serve at boot 1 except those given, each with a Mode or a HostState."""
+    hosts = {host: HostState(Mode.SERVES, 1, 1000.0) for host in FLEET}
+    for host, state in changed.items():
+        hosts[host] = state if isinstance(state, HostState) else HostState(state, 1, 1000.0)
+    return ClusterView(hosts)
 
 
 def out(progress) -> dict[str, Stage]:
-    return {turn.host: turn.stage for turn in progress.out}
+    """The hosts that are out of service, with their stages."""
+    return {update.host: update.stage for update in progress.out}
 
 
-# --- what may be done next
+# --- decisions
 
 
-def test_hosts_go_out_cell_by_cell_up_to_the_bounds():
+def test_hosts_go_out_of_service_cell_by_cell_up_to_the_bounds():
     progress = decide(plan(), Progress(), BOUNDS, view())
     assert out(progress) == {"a": Stage.DRAINS, "b": Stage.DRAINS} and not progress.stands
     again = decide(plan(), progress, BOUNDS, view())
@@ -66,7 +69,7 @@
     assert batches(plan(replace(BOUNDS, cells=1, most=5))) == [["a", "b"], ["c", "d"], ["e"]]
 
 
-def test_a_host_that_died_or_drains_by_another_hand_counts_as_out():
+def test_a_host_that_died_or_is_drained_by_others_counts_as_out_of_service():
     assert out(decide(plan(), Progress(), BOUNDS, view(e=Mode.GONE))) == {"a": Stage.DRAINS}
     assert out(decide(plan(), Progress(), BOUNDS, view(e=Mode.DRAINS))) == {"a": Stage.DRAINS}
     both = decide(plan(), Progress(), BOUNDS, view(d=Mode.DRAINS, e=Mode.GONE))
@@ -76,22 +79,22 @@
     assert out(decide(plan(), Progress(), BOUNDS, unlisted)) == {"a": Stage.DRAINS}
 
 
-def test_a_cluster_file_with_a_lower_limit_begins_no_host_before_it_is_met():
-    three = Progress("r1", (HostUpdate("a", Stage.DRAINS, 1), HostUpdate("b", Stage.DRAINS, 1)))
-    after = decide(plan(), three, replace(BOUNDS, most=1), view(a=Mode.DRAINS, b=Mode.DRAINS))
+def test_after_the_cluster_files_limit_was_lowered_no_host_is_started_until_it_is_met():
+    two_out = Progress("r1", (HostUpdate("a", Stage.DRAINS, 1), HostUpdate("b", Stage.DRAINS, 1)))
+    after = decide(plan(), two_out, replace(BOUNDS, most=1), view(a=Mode.DRAINS, b=Mode.DRAINS))
     assert len(after.out) == 2 and "1 may be" in after.stands
 
 
-def test_room_of_a_kind_and_cells_bound_what_is_out():
+def test_the_share_of_a_kind_and_the_cells_limit_what_is_out_of_service():
     fleet = {**FLEET, "p": ("press", 0), "q": ("press", 0)}
     wide = replace(BOUNDS, most=7, cells=9, room=0.5)
-    seen = ClusterView({host: HostState(Mode.SERVES, 1, 1000.0) for host in fleet})
-    progress = decide(plan(wide, fleet=fleet), Progress(), wide, seen)
+    all_serve = ClusterView({host: HostState(Mode.SERVES, 1, 1000.0) for host in fleet})
+    progress = decide(plan(wide, fleet=fleet), Progress(), wide, all_serve)
     assert out(progress).keys() == {"a", "b", "p"}, "2 of 5 std, 1 of 2 press"
 
 
 @pytest.mark.parametrize(
-    "look, spent, after",
+    "drain, spent, after",
     [
         (None, 100.0, Stage.DRAINS),
         (DrainState(1, False, 0, 0), 0.0, Stage.DRAINS),
@@ -100,52 +103,52 @@
         (DrainState(1, True, 3, 0), 20.0, Stage.REPLACES),
         (DrainState(1, True, 3, 1), 1e6, Stage.DRAINS),
     ],
-    ids=["never heard", "not draining", "has work", "empty", "patience over", "irreversible"],
+    ids=["no reply yet", "not draining", "has work", "empty", "patience over", "irreversible"],
 )
-def test_a_drain_lasts_until_its_work_or_patience_is_over_and_irreversible_work_always(look, spent, after):
+def test_a_drain_lasts_until_its_work_or_patience_is_over_and_irreversible_work_always(drain, spent, after):
     begun = Progress("r1", (HostUpdate("a", Stage.DRAINS, 1, spent),))
-    looks = {} if look is None else {"a": look}
-    assert out(decide(plan(), begun, BOUNDS, replace(view(a=Mode.DRAINS), drains=looks)))["a"] is after
+    drains = {} if drain is None else {"a": drain}
+    assert out(decide(plan(), begun, BOUNDS, replace(view(a=Mode.DRAINS), drains=drains)))["a"] is after
 
 
-def test_a_host_that_died_in_its_drain_is_replaced_only_after_it_was_silent_for_long():
+def test_a_host_that_died_while_draining_is_replaced_only_after_long_unresponsiveness():
     begun = Progress("r1", (HostUpdate("a", Stage.DRAINS, 1),))
     held = {"a": DrainState(1, True, 2, 1)}
-    for silent, stage in ((5.0, Stage.DRAINS), (20.0, Stage.REPLACES)):
-        gone = replace(view(a=Mode.GONE), drains=held, unresponsive_seconds={"a": silent})
+    for seconds, stage in ((5.0, Stage.DRAINS), (20.0, Stage.REPLACES)):
+        gone = replace(view(a=Mode.GONE), drains=held, unresponsive_seconds={"a": seconds})
         assert out(decide(plan(), begun, BOUNDS, gone))["a"] is stage
     answers = replace(view(a=Mode.DRAINS), drains=held, unresponsive_seconds={"a": 1e6})
     assert out(decide(plan(), begun, BOUNDS, answers))["a"] is Stage.DRAINS, (
-        "listed: it may be cut off from here alone"
+        "it is listed: only this controller may be cut off from it"
     )
 
 
-def test_a_host_that_came_back_by_itself_drains_in_its_new_life_and_stays_out_meanwhile():
+def test_a_host_that_restarted_by_itself_drains_in_its_new_boot_and_stays_out_of_service():
     begun = Progress("r1", (HostUpdate("a", Stage.DRAINS, 1, 15.0),))
-    back = replace(view(a=HostState(Mode.SERVES, 2, 3.0)), drains={"a": DrainState(2, False, 1, 0)})
-    assert decide(plan(), begun, BOUNDS, back).out[0] == HostUpdate("a", Stage.DRAINS, 2)
-    found = Progress("r1", (HostUpdate("a", Stage.REPLACES, 1),))
-    assert decide(plan(), found, BOUNDS, replace(view(), unexpected_boots={"a": 7})).out[0] == HostUpdate(
+    restarted = replace(view(a=HostState(Mode.SERVES, 2, 3.0)), drains={"a": DrainState(2, False, 1, 0)})
+    assert decide(plan(), begun, BOUNDS, restarted).out[0] == HostUpdate("a", Stage.DRAINS, 2)
+    replacing = Progress("r1", (HostUpdate("a", Stage.REPLACES, 1),))
+    assert decide(plan(), replacing, BOUNDS, replace(view(), unexpected_boots={"a": 7})).out[0] == HostUpdate(
         "a", Stage.DRAINS, 7
     )
 
 
-def test_a_successor_counts_once_it_serves_and_is_warm_and_the_tool_said_so():
+def test_a_replaced_host_counts_once_it_serves_is_warm_and_the_tool_has_confirmed_it():
     begun = Progress("r1", (HostUpdate("a", Stage.REPLACES, 1),))
-    warm, young = HostState(Mode.SERVES, 2, 5.0), HostState(Mode.SERVES, 2, 4.9)
-    told = frozenset({("a", 1)})
-    assert decide(plan(), begun, BOUNDS, replace(view(a=warm), replaced=told)).done == (0,)
-    for stands, replaced in (
-        (young, told),
+    warm, too_young = HostState(Mode.SERVES, 2, 5.0), HostState(Mode.SERVES, 2, 4.9)
+    confirmed = frozenset({("a", 1)})
+    assert decide(plan(), begun, BOUNDS, replace(view(a=warm), replaced=confirmed)).done == (0,)
+    for state, replaced in (
+        (too_young, confirmed),
         (warm, frozenset()),
-        (HostState(Mode.SERVES, 1, 99.0), told),
-        (HostState(Mode.DRAINS, 2, 99.0), told),
+        (HostState(Mode.SERVES, 1, 99.0), confirmed),
+        (HostState(Mode.DRAINS, 2, 99.0), confirmed),
     ):
-        after = decide(plan(), begun, BOUNDS, replace(view(a=stands), replaced=replaced))
+        after = decide(plan(), begun, BOUNDS, replace(view(a=state), replaced=replaced))
         assert not after.done and out(after)["a"] is Stage.REPLACES
 
 
-def test_paused_and_aborted_campaigns_see_out_what_is_out_and_begin_nothing():
+def test_paused_and_aborted_campaigns_finish_the_hosts_that_are_out_and_start_no_others():
     begun = Progress("r1", (HostUpdate("a", Stage.REPLACES, 1),))
     back = replace(view(a=HostState(Mode.SERVES, 2, 9.0)), replaced=frozenset({("a", 1)}))
     for want in (Want.PAUSE, Want.ABORT):
@@ -157,7 +160,7 @@
     assert decide(plan(want=Want.ABORT), Progress(), BOUNDS, view()).ended == "aborted"
 
 
-def test_it_pauses_by_itself_on_strain_or_an_old_view_and_says_why():
+def test_it_pauses_by_itself_on_overload_or_stale_information_and_gives_the_reason():
     for changed in (
         {"overload_reason": "40% of launches were turned away"},
         {"stale_reason": "the list of hosts is 20 s old"},
@@ -166,13 +169,13 @@
         assert not after.out and after.stands == next(iter(changed.values()))
 
 
-def test_it_goes_on_without_hosts_that_stay_away_and_names_them_at_its_end():
-    rest = Progress("r1", (), (0, 1, 2, 3))
+def test_it_continues_without_hosts_that_stay_missing_and_names_them_at_its_end():
+    four_done = Progress("r1", (), (0, 1, 2, 3))
     assert (
-        decide(plan(), rest, BOUNDS, replace(view(e=Mode.GONE), idle_seconds=29.0)).stands
+        decide(plan(), four_done, BOUNDS, replace(view(e=Mode.GONE), idle_seconds=29.0)).stands
         == "e waits: is not there"
     )
-    left = decide(plan(), rest, BOUNDS, replace(view(e=Mode.DRAINS), idle_seconds=30.0))
+    left = decide(plan(), four_done, BOUNDS, replace(view(e=Mode.DRAINS), idle_seconds=30.0))
     assert left.left == {4: "drains by another hand"}
     ended = decide(plan(), left, BOUNDS, view())
     assert ended.ended == "done" and "left out: e drains by another hand" in campaign.describe_progress(
@@ -181,7 +184,7 @@
 
 
 @pytest.mark.parametrize(
-    "bounds, fleet, said",
+    "bounds, fleet, expected",
     [
         (
             replace(BOUNDS, room=0.1),
@@ -193,21 +196,21 @@
     ],
     ids=["room", "none", "size"],
 )
-def test_a_plan_that_could_not_be_carried_out_is_refused(bounds, fleet, said):
-    with pytest.raises(DutyError, match=said.replace("(", "\\(")):
+def test_a_plan_that_could_not_be_carried_out_is_refused(bounds, fleet, expected):
+    with pytest.raises(DutyError, match=expected.replace("(", "\\(")):
         validate(plan(bounds, fleet=fleet), ClusterView({}))
 
 
-def test_four_hundred_hosts_of_usual_names_fit_into_one_plan():
+def test_four_hundred_hosts_with_names_of_usual_length_fit_into_one_plan():
     fleet = {f"h{n:03}": ("std", n // 8) for n in range(400)}
-    whole = validate(plan(BOUNDS, fleet=fleet), ClusterView({}))
+    full_plan = validate(plan(BOUNDS, fleet=fleet), ClusterView({}))
     progress = Progress(
         "r1", (HostUpdate("h399", Stage.REPLACES, 1 << 60),), tuple(range(399)), {}, "", "x" * 200
     )
-    assert len(campaign.encode(progress)) < duty.MAX_PROGRESS_BYTES and len(whole.targets) == 400
+    assert len(campaign.encode(progress)) < duty.MAX_PROGRESS_BYTES and len(full_plan.targets) == 400
 
 
-def test_an_operators_choice_takes_hosts_that_fit_all_of_it_and_names_those_that_are_not_there():
+def test_a_selection_takes_hosts_that_match_all_criteria_and_names_unknown_ones():
     hosts = HostsNow(
         {
             f"h{n}": HostNow("std" if n % 2 else "press", "ab"[n // 4], n // 2, Mode.SERVES, 1, 9.0, "")
@@ -226,14 +229,14 @@
         "h7",
     )
     assert plan_campaign("r", hosts, HostSelection(("h1",)), replace(wide, most=9), wide).bounds.most == 2, (
-        "the cluster file's"
+        "the cluster file's limit"
     )
     with pytest.raises(DutyError, match="h9"):
         plan_campaign("r", hosts, HostSelection(("h1", "h9")), wide, wide)
 
 
 @pytest.mark.parametrize(
-    "line, said",
+    "line, expected",
     [
         ('tool = "here"', "campaign: tool: 'here' is not HOST:PORT"),
         ('tool = "a:1"\n most = 0', "most is 0, 1 at least"),
@@ -243,15 +246,20 @@
         ("most = 3", "tool is missing"),
     ],
 )
-def test_a_faulty_block_is_named(line, said):
+def test_an_invalid_block_is_reported_with_its_key(line, expected):
     with pytest.raises(ConfigError) as found:
         parse_cluster(
-            f'cluster {{\n controllers = 1\n}}\nkind "std" {{\n cores = 1\n memory = 1\n}}\noffering "w" {{\n expiry = 5\n effect = "redoable"\n}}\ncouncil {{\n id = "x"\n}}\nmember "c1" {{\n address = "a:1"\n}}\ncampaign {{\n {line}\n}}'
+            "cluster {\n controllers = 1\n}\n"
+            'kind "std" {\n cores = 1\n memory = 1\n}\n'
+            'offering "w" {\n expiry = 5\n effect = "redoable"\n}\n'
+            'council {\n id = "x"\n}\n'
+            'member "c1" {\n address = "a:1"\n}\n'
+            f"campaign {{\n {line}\n}}"
         )
-    assert any(said in one for one in found.value.lines), found.value.lines
+    assert any(expected in error for error in found.value.lines), found.value.lines
 
 
-# --- the owner's course
+# --- the owner's state machine
 
 
 def census(token, number, launches=0, refused=0, taken=0, waiting=0) -> Census:
@@ -267,75 +275,75 @@
     )
 
 
-def test_nothing_is_ordered_before_it_stands_in_the_council():
-    course = CampaignRunner(Progress(), 0.0)
-    course.receive_census(census(1, 1), 0.0)
-    after = course.step(plan(), BOUNDS, view().hosts, 0.0, 1.0)
-    assert after.out and not course.orders()
-    course.mark_stored(after, 1.0)
-    assert {(order.kind, order.host) for order in course.orders()} == {
+def test_nothing_is_ordered_before_it_is_stored_in_the_council():
+    runner = CampaignRunner(Progress(), 0.0)
+    runner.receive_census(census(1, 1), 0.0)
+    after = runner.step(plan(), BOUNDS, view().hosts, 0.0, 1.0)
+    assert after.out and not runner.orders()
+    runner.mark_stored(after, 1.0)
+    assert {(order.kind, order.host) for order in runner.orders()} == {
         (OrderKind.DRAIN, "a"),
         (OrderKind.DRAIN, "b"),
     }
-    assert course.step(plan(), BOUNDS, view(a=Mode.DRAINS, b=Mode.DRAINS).hosts, 0.0, 2.0).stands
-    for order in course.orders():
-        course.receive_reply(order, OrderReply(True, 1, True), 3.0)
-    assert {order.kind for order in course.orders()} == {OrderKind.DRAIN}, "not written yet"
+    assert runner.step(plan(), BOUNDS, view(a=Mode.DRAINS, b=Mode.DRAINS).hosts, 0.0, 2.0).stands
+    for order in runner.orders():
+        runner.receive_reply(order, OrderReply(True, 1, True), 3.0)
+    assert {order.kind for order in runner.orders()} == {OrderKind.DRAIN}, "the replacement is not stored yet"
 
 
-def test_time_out_of_service_goes_on_from_owner_to_owner():
+def test_time_out_of_service_is_counted_across_owners():
     begun = Progress("r1", (HostUpdate("a", Stage.DRAINS, 1, 15.0),))
-    course = CampaignRunner(begun, 100.0)
-    course.receive_census(census(1, 1), 100.0)
-    order = course.orders()[0]
-    course.receive_reply(order, OrderReply(True, 1, True, jobs=2), 101.0)
-    assert out(course.step(plan(want=Want.PAUSE), BOUNDS, view().hosts, 0.0, 104.0)) == {"a": Stage.DRAINS}
-    assert out(course.step(plan(want=Want.PAUSE), BOUNDS, view().hosts, 0.0, 105.0)) == {"a": Stage.REPLACES}
+    runner = CampaignRunner(begun, 100.0)
+    runner.receive_census(census(1, 1), 100.0)
+    order = runner.orders()[0]
+    runner.receive_reply(order, OrderReply(True, 1, True, jobs=2), 101.0)
+    assert out(runner.step(plan(want=Want.PAUSE), BOUNDS, view().hosts, 0.0, 104.0)) == {"a": Stage.DRAINS}
+    assert out(runner.step(plan(want=Want.PAUSE), BOUNDS, view().hosts, 0.0, 105.0)) == {"a": Stage.REPLACES}
 
 
-def test_strain_pauses_between_two_censuses_and_ends_well_under_the_limit():
-    course = CampaignRunner(Progress(), 0.0)
-    seen = view().hosts
+def test_overload_between_two_censuses_pauses_it_until_well_under_the_limit():
+    runner = CampaignRunner(Progress(), 0.0)
+    hosts = view().hosts
 
-    def stands(number, now, **figures):
-        course.receive_census(census(1, number, **figures), now)
-        after = course.step(plan(), BOUNDS, seen, 0.0, now) or course.stored
+    def state(number, now, **figures):
+        runner.receive_census(census(1, number, **figures), now)
+        after = runner.step(plan(), BOUNDS, hosts, 0.0, now) or runner.stored
         return after.stands if not after.out else "begins"
 
-    assert stands(1, 0.0, launches=100, refused=90) == "begins", "one census shows nothing of now"
-    assert "31% of launches were turned away" in stands(2, 3.0, launches=200, refused=121)
-    assert "turned away" in stands(3, 6.0, launches=300, refused=146), (
-        "25%: it pauses from 30, ends under 22.5"
+    assert state(1, 0.0, launches=100, refused=90) == "begins", "one census shows no rate"
+    assert "31% of launches were turned away" in state(2, 3.0, launches=200, refused=121)
+    assert "turned away" in state(3, 6.0, launches=300, refused=146), (
+        "25%: the pause starts at 30% and ends under 22.5%"
     )
-    assert stands(4, 9.0, launches=400, refused=166) == "begins"
-    assert "50% of the jobs to be placed still wait" in stands(
+    assert state(4, 9.0, launches=400, refused=166) == "begins"
+    assert "50% of the jobs to be placed still wait" in state(
         5, 12.0, launches=500, refused=166, taken=40, waiting=20
     )
-    assert "still wait" in stands(6, 15.0, launches=600, refused=166, taken=60, waiting=10), "10 of 40"
-    assert stands(7, 18.0, launches=700, refused=166, taken=90, waiting=8) == "begins", "8 of 40"
-    assert stands(8, 21.0, launches=705, refused=171, taken=91, waiting=9) == "begins", (
-        "of so few it tells nothing"
+    assert "still wait" in state(6, 15.0, launches=600, refused=166, taken=60, waiting=10), "10 of 40"
+    assert state(7, 18.0, launches=700, refused=166, taken=90, waiting=8) == "begins", "8 of 40"
+    assert state(8, 21.0, launches=705, refused=171, taken=91, waiting=9) == "begins", (
+        "too few launches for a rate"
     )
-    assert "no census for 16 s" in (course.step(plan(), BOUNDS, seen, 0.0, 37.0) or course.stored).stands
-    assert "list of hosts is 16 s old" in course.step(plan(), BOUNDS, seen, 16.0, 38.0).stands
+    assert "no census for 16 s" in (runner.step(plan(), BOUNDS, hosts, 0.0, 37.0) or runner.stored).stands
+    assert "list of hosts is 16 s old" in runner.step(plan(), BOUNDS, hosts, 16.0, 38.0).stands
 
 
-# --- many courses in simulated time
+# --- campaigns in simulated time
 
 
-def test_through_owners_that_die_at_every_step_campaigns_end_within_their_bounds():
-    courses = played(range(30))
-    assert [course.faults for course in courses] == [[]] * len(courses)
-    ended = [course for course in courses if course.progress.ended == "done"]
-    assert len(ended) >= 28, [course.progress for course in courses if not course.progress.ended]
-    assert sum(course.owners for course in courses) > 500 and sum(course.refused for course in courses) > 100
-    assert max(course.most for course in courses) == 3
+def test_campaigns_end_within_their_bounds_although_owners_die_at_any_step():
+    results = played(range(30))
+    assert [result.faults for result in results] == [[]] * len(results)
+    ended = [result for result in results if result.progress.ended == "done"]
+    assert len(ended) >= 28, [result.progress for result in results if not result.progress.ended]
+    assert sum(result.owners for result in results) > 500 and sum(result.refused for result in results) > 100
+    assert max(result.most for result in results) == 3
     prompt = played(range(20), trouble=Trouble(late=0.5, list_late=1.0, deaths=0.02, down=60.0))
-    assert [course.faults for course in prompt] == [[]] * len(prompt)
+    assert [result.faults for result in prompt] == [[]] * len(prompt)
 
 
-def test_a_death_at_each_single_step_in_turn_is_gone_on_from():
-    """No chance but the weather's: the owner dies at its n-th step, for every n."""
+def test_a_campaign_continues_after_its_owner_dies_at_each_single_step_in_turn():
+    """The owner dies once, at its n-th step, for every n; only the delays of messages are random."""
     from linedeal.lab.releases import Releases
 
     class DiesAt(Releases):
@@ -352,69 +360,70 @@
     for step in range(1, clean.steps + 1):
         releases = DiesAt(5, hosts=4, trouble=calm)
         releases.at = step
-        course = releases.play(900.0)
-        assert (course.faults, course.progress.ended, course.owners) == ([], "done", 2), step
+        result = releases.play(900.0)
+        assert (result.faults, result.progress.ended, result.owners) == ([], "done", 2), step
     assert clean.steps > 100
 
 
 blocking_reason, advance_host = campaign.blocking_reason, campaign.advance_host
 
 
-def forgets_deaths(plan, progress, view):
-    return {turn.host for turn in progress.out}
+def ignore_deaths(plan, progress, view):
+    return {update.host for update in progress.out}
 
 
-def moves_irreversible(turn, bounds, view):
-    look = view.drains.get(turn.host)
-    if look is not None:
-        view = replace(view, drains={**view.drains, turn.host: replace(look, irreversible=0)})
-    return advance_host(turn, bounds, view)
+def ignore_irreversible_jobs(update, bounds, view):
+    drain = view.drains.get(update.host)
+    if drain is not None:
+        view = replace(view, drains={**view.drains, update.host: replace(drain, irreversible=0)})
+    return advance_host(update, bounds, view)
 
 
-def any_look(turn, bounds, view):
-    look = view.drains.get(turn.host)
-    if look is not None:
-        view = replace(view, drains={**view.drains, turn.host: replace(look, draining=True, jobs=0)})
-    return advance_host(turn, bounds, view)
+def accept_any_reply(update, bounds, view):
+    drain = view.drains.get(update.host)
+    if drain is not None:
+        view = replace(view, drains={**view.drains, update.host: replace(drain, draining=True, jobs=0)})
+    return advance_host(update, bounds, view)
 
 
-def drains_again(turn, bounds, view):
-    """A successor that serves, taken for the host that was to drain."""
-    seen = view.hosts.get(turn.host)
+def drain_successor(update, bounds, view):
+    """Takes a replaced host that serves for the one that was to drain."""
+    host = view.hosts.get(update.host)
     if (
-        turn.stage is Stage.REPLACES
-        and seen is not None
-        and seen.mode is Mode.SERVES
-        and seen.boot != turn.boot
+        update.stage is Stage.REPLACES
+        and host is not None
+        and host.mode is Mode.SERVES
+        and host.boot != update.boot
     ):
-        return HostUpdate(turn.host, Stage.DRAINS, seen.boot)
-    return advance_host(turn, bounds, view)
+        return HostUpdate(update.host, Stage.DRAINS, host.boot)
+    return advance_host(update, bounds, view)
 
 
-WITHOUT = {
-    "a limit that is not looked at": (
+# safety checks to remove: where, what, and what takes its place
+REMOVED_CHECKS = {
+    "a limit that is not checked": (
         campaign,
         "blocking_reason",
         lambda plan, bounds, view, out, host: blocking_reason(
             plan, replace(bounds, most=99, cells=99, room=1.0), view, set(), host
         ),
     ),
-    "deaths that do not count": (campaign, "out_of_service", forgets_deaths),
-    "progress that is not handed on": (campaign, "decode", lambda body, kind: Progress()),
-    "irreversible jobs not waited for": (campaign, "advance_host", moves_irreversible),
-    "a host's word before it drains": (campaign, "advance_host", any_look),
-    "a successor taken for its predecessor": (campaign, "advance_host", drains_again),
+    "deaths that do not count": (campaign, "out_of_service", ignore_deaths),
+    "progress that the next owner does not get": (campaign, "decode", lambda body, kind: Progress()),
+    "irreversible jobs not waited for": (campaign, "advance_host", ignore_irreversible_jobs),
+    "a host's reply from before it drained": (campaign, "advance_host", accept_any_reply),
+    "a replaced host taken for its former boot": (campaign, "advance_host", drain_successor),
 }
 
 
-@pytest.mark.parametrize("where, what, put", WITHOUT.values(), ids=WITHOUT)
-def test_each_guard_taken_out_is_seen(monkeypatch, where, what, put):
-    monkeypatch.setattr(where, what, put)
+@pytest.mark.parametrize("module, name, replacement", REMOVED_CHECKS.values(), ids=REMOVED_CHECKS)
+def test_each_removed_check_is_detected(monkeypatch, module, name, replacement):
+    monkeypatch.setattr(module, name, replacement)
     prompt = Trouble(late=0.5, list_late=1.0, deaths=0.02, down=60.0)
     assert any(
-        course.faults
+        result.faults
         for trouble in (Trouble(), prompt)
-        for course in played(range(40), 600.0, trouble=trouble)
+        for result in played(range(40), 600.0, trouble=trouble)
     )
 
 
@@ -448,10 +457,10 @@
 
 
 class Record:
-    """A record by hand: hosts a and b at boot 1, owner c1/1 with token 1."""
+    """A hand-made traffic record: hosts a and b at boot 1, owner c1/1 with token 1."""
 
     def __init__(self):
-        self.r, self.numbers = Recorder(), 0
+        self.recorder, self.last_number = Recorder(), 0
         self.watch = self.open("discovery", pb.CONTROLLER, "c1", 0.0)
         for host in "ab":
             self.listed(0.0, host, 1, 100.0)
@@ -464,12 +473,12 @@
         )
 
     def open(self, to, role, name, t):
-        link = self.r.opened(t, to)
-        self.r.data(t, link, ">", encode(pb.Hello(version=1, role=role, name=name)))
+        link = self.recorder.opened(t, to)
+        self.recorder.data(t, link, ">", encode(pb.Hello(version=1, role=role, name=name)))
         return link
 
     def listed(self, t, host, boot, age, mode=pb.SERVING):
-        self.r.data(
+        self.recorder.data(
             t,
             self.watch,
             "<",
@@ -481,25 +490,37 @@
         )
 
     def change(self, t, key, body, made=True):
-        self.numbers += 1
-        self.r.data(
+        self.last_number += 1
+        self.recorder.data(
             t,
             self.council,
             ">",
-            encode(pb.CouncilAsk(number=self.numbers, kind=pb.CHANGE, key=key, body=body)),
+            encode(pb.CouncilAsk(number=self.last_number, kind=pb.CHANGE, key=key, body=body)),
         )
         if made:
-            self.r.data(t, self.council, "<", encode(pb.CouncilTold(number=self.numbers, outcome="DONE")))
+            self.recorder.data(
+                t, self.council, "<", encode(pb.CouncilTold(number=self.last_number, outcome="DONE"))
+            )
 
     def progress(self, t, *out, token=1, made=True, **rest):
         body = campaign.encode(Progress("r", tuple(out), **rest))
         self.change(t, "duty/campaign", duty.encode(Duty(f"c{token}/1", token, 6.0, 1, "", body)), made)
 
     def order(
-        self, t, kind, host, boot=1, token=1, owner="", told=0.0, done=True, draining=False, irreversible=0
+        self,
+        t,
+        kind,
+        host,
+        boot=1,
+        token=1,
+        owner="",
+        answered_at=0.0,
+        done=True,
+        draining=False,
+        irreversible=0,
     ):
         link = self.open("tool" if kind == pb.HOST_REPLACE else host, pb.OWNER, owner or f"c{token}/1", t)
-        self.r.data(
+        self.recorder.data(
             t,
             link,
             ">",
@@ -509,8 +530,8 @@
                 )
             ),
         )
-        self.r.data(
-            told or t + 0.01,
+        self.recorder.data(
+            answered_at or t + 0.01,
             link,
             "<",
             encode(
@@ -521,21 +542,24 @@
         )
 
     def breaches(self):
-        return {breach.claim for breach in find_duty_breaches(reconstruct_traffic(self.r.entries), AUDITED)}
+        return {
+            breach.claim for breach in find_duty_breaches(reconstruct_traffic(self.recorder.entries), AUDITED)
+        }
 
 
-def whole(record):
+def complete_first_host(record):
+    """Adds the drain and the replacement of host a."""
     record.progress(2.0, HostUpdate("a", Stage.DRAINS, 1))
     record.order(3.0, pb.HOST_DRAIN, "a")
     record.progress(4.0, HostUpdate("a", Stage.REPLACES, 1))
-    record.r.mark(5.0, "replace", "a")
+    record.recorder.mark(5.0, "replace", "a")
     record.order(5.0, pb.HOST_REPLACE, "a")
     record.listed(6.0, "a", 2, 0.5)
     return record
 
 
-def test_a_campaign_as_it_should_be_breaks_no_claim():
-    record = whole(Record())
+def test_a_correct_campaign_breaks_no_claim():
+    record = complete_first_host(Record())
     record.progress(8.0, HostUpdate("b", Stage.DRAINS, 1), done=(0,))
     record.order(9.0, pb.HOST_DRAIN, "b")
     record.order(9.5, pb.HOST_DRAIN, "b", token=1)
@@ -546,20 +570,20 @@
     assert record.breaches() == set()
 
 
-def test_an_old_owner_carried_out_after_a_later_one_is_seen():
-    record = whole(Record())
+def test_an_order_of_an_old_owner_carried_out_after_a_later_ones_is_detected():
+    record = complete_first_host(Record())
     record.order(7.0, pb.HOST_DRAIN, "a", token=3, done=True)
     record.order(8.0, pb.HOST_DRAIN, "a", token=2, done=True)
     assert "tokens" in record.breaches()
 
 
-def test_one_token_of_two_owners_is_seen():
-    record = whole(Record())
+def test_one_token_used_by_two_owners_is_detected():
+    record = complete_first_host(Record())
     record.order(7.0, pb.HOST_DRAIN, "a", token=1, owner="c9/1", done=False)
     assert record.breaches() == {"tokens"}
 
 
-def test_an_order_ahead_of_its_progress_is_seen():
+def test_an_order_before_its_progress_is_stored_is_detected():
     record = Record()
     record.order(3.0, pb.HOST_DRAIN, "a")
     record.progress(3.5, HostUpdate("a", Stage.DRAINS, 1))
@@ -570,30 +594,30 @@
     assert "planned" in record.breaches()
 
 
-def test_a_second_drain_after_the_replacement_is_seen():
-    record = whole(Record())
+def test_a_second_drain_after_the_replacement_is_detected():
+    record = complete_first_host(Record())
     record.progress(8.0, HostUpdate("a", Stage.DRAINS, 2))
     record.order(9.0, pb.HOST_DRAIN, "a", boot=2)
     assert record.breaches() == {"twice"}
 
 
 @pytest.mark.parametrize("since, broken", [(8.5, set()), (2.0, {"limit"})])
-def test_a_death_counts_once_it_must_be_known(since, broken):
-    record = whole(Record())
-    record.r.mark(since, "kill", "a")
+def test_a_death_counts_from_when_it_must_be_known(since, broken):
+    record = complete_first_host(Record())
+    record.recorder.mark(since, "kill", "a")
     record.progress(8.8, HostUpdate("b", Stage.DRAINS, 1), done=(0,))
     record.order(9.0, pb.HOST_DRAIN, "b")
     if since > 6:
         assert record.breaches() == broken
-    else:  # dead since before its replacement was there; never back
+    else:  # it died before it was replaced, and never came back
         other = Record()
-        other.r.mark(since, "kill", "a")
+        other.recorder.mark(since, "kill", "a")
         other.progress(8.8, HostUpdate("b", Stage.DRAINS, 1))
         other.order(9.0, pb.HOST_DRAIN, "b")
         assert other.breaches() == broken
 
 
-def test_two_out_where_one_may_be_is_seen():
+def test_two_hosts_out_of_service_where_one_is_allowed_are_detected():
     record = Record()
     record.progress(2.0, HostUpdate("a", Stage.DRAINS, 1), HostUpdate("b", Stage.DRAINS, 1))
     record.order(3.0, pb.HOST_DRAIN, "a")
@@ -604,61 +628,61 @@
 LAUNCH = pb.LaunchId(controller="c1", life=1, number=1)
 
 
-def welcomed(record, t, *held):
-    """A link of c1 to host a."""
+def open_host_link(record, t, *held):
+    """Opens a link of c1 to host a, which reports the launches that it holds."""
     link = record.open("a", pb.CONTROLLER, "c1", t)
-    record.r.data(t, link, "<", encode(pb.Welcome(version=1, name="a", boot=1, age=100.0, held=held)))
+    record.recorder.data(t, link, "<", encode(pb.Welcome(version=1, name="a", boot=1, age=100.0, held=held)))
     return link
 
 
-def holding(record):
-    """The record with an irreversible job on host a; its link."""
-    link = welcomed(record, 1.0)
+def start_irreversible_job(record):
+    """Starts an irreversible job on host a, and returns the link."""
+    link = open_host_link(record, 1.0)
     spec = pb.JobSpec(id="c1.1.1", offering="feed", cores=1.0)
-    record.r.data(1.5, link, ">", encode(pb.Offer(launch=LAUNCH, job=spec)))
-    record.r.data(1.6, link, "<", encode(pb.Accepted(launch=LAUNCH)))
+    record.recorder.data(1.5, link, ">", encode(pb.Offer(launch=LAUNCH, job=spec)))
+    record.recorder.data(1.6, link, "<", encode(pb.Accepted(launch=LAUNCH)))
     return link
 
 
-def test_a_replacement_under_an_irreversible_job_is_seen():
+def test_a_replacement_of_a_host_with_an_irreversible_job_is_detected():
     record = Record()
-    holding(record)
-    assert whole(record).breaches() == {"irreversible"}
+    start_irreversible_job(record)
+    assert complete_first_host(record).breaches() == {"irreversible"}
 
 
 @pytest.mark.parametrize(
-    "gone, word, broken",
+    "link_ended, reply, broken",
     [
-        (3.2, {}, False),  # its controller went: over, by the host's word after that
-        (9.0, {}, True),  # the link stood, and told no end
-        (3.8, {}, True),  # it went after the host's word
+        (3.2, {}, False),  # the controller's link ended, and the host reported it empty after that
+        (9.0, {}, True),  # the link was open, and reported no end
+        (3.8, {}, True),  # the link ended after the host's reply
         (3.2, {"irreversible": 1}, True),
-        (3.2, {"draining": False}, True),  # something new could have come
-        (3.2, {"boot": 2}, True),  # another life's word
+        (3.2, {"draining": False}, True),  # a new job could have started
+        (3.2, {"boot": 2}, True),  # the reply of another boot
     ],
     ids=str,
 )
-def test_an_irreversible_job_whose_controller_went_is_over_by_the_hosts_word_alone(gone, word, broken):
+def test_an_irreversible_job_of_a_lost_controller_is_over_if_the_host_reports_it(link_ended, reply, broken):
     record = Record()
-    link = holding(record)
-    record.r.ended(gone, link, ">")
-    record.order(3.5, pb.HOST_LOOK, "a", **{"draining": True, **word})
-    assert whole(record).breaches() == ({"irreversible"} if broken else set())
+    link = start_irreversible_job(record)
+    record.recorder.ended(link_ended, link, ">")
+    record.order(3.5, pb.HOST_LOOK, "a", **{"draining": True, **reply})
+    assert complete_first_host(record).breaches() == ({"irreversible"} if broken else set())
 
 
-@pytest.mark.parametrize("gone, broken", [(3.4, False), (9.0, True), (3.8, True)])
-def test_a_controller_that_came_back_to_its_irreversible_job_hears_of_its_end_itself(gone, broken):
-    # the host's word counts for what nobody could be told, from the last link that knew of the job
+@pytest.mark.parametrize("link_ended, broken", [(3.4, False), (9.0, True), (3.8, True)])
+def test_a_controller_that_reconnected_must_be_told_the_end_of_its_irreversible_job(link_ended, broken):
+    # The host's reply to the owner counts only after the last link that knew of the job has ended.
     record = Record()
-    first = holding(record)
-    second = welcomed(record, 3.1, pb.Held(launch=LAUNCH, phase=pb.RUNNING))
-    record.r.ended(3.2, first, ">")
-    record.r.ended(gone, second, ">")
+    first = start_irreversible_job(record)
+    second = open_host_link(record, 3.1, pb.Held(launch=LAUNCH, phase=pb.RUNNING))
+    record.recorder.ended(3.2, first, ">")
+    record.recorder.ended(link_ended, second, ">")
     record.order(3.5, pb.HOST_LOOK, "a", draining=True)
-    assert whole(record).breaches() == ({"irreversible"} if broken else set())
+    assert complete_first_host(record).breaches() == ({"irreversible"} if broken else set())
 
 
-def test_a_campaign_that_stands_without_a_reason_is_seen():
+def test_a_campaign_that_stops_without_a_reason_is_detected():
     record = Record()
     assert record.breaches() == {"ends"}
     record.progress(2.0, stands="a waits: is not there")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,7 @@
-"""Several processes of the program with a council among them, and faults between them; each day a few seconds long."""
+"""The council and the duties in a cluster of real processes, under failures of processes and links.
+
+Each scenario takes a few seconds of real time.
+"""
 
 import json
 import shutil
@@ -13,9 +16,9 @@
 from linedeal.duties.duty import DutyError
 from linedeal.fleet import isolation, operator
 from linedeal.fleet.council_client import CouncilClient
+from linedeal.fleet.council_service import CouncilService
 from linedeal.fleet.council_store import CouncilStore
 from linedeal.fleet.duty_service import CENSUS_DUTY
-from linedeal.fleet.council_service import CouncilService
 from linedeal.lab.day import parse_day
 from linedeal.lab.play import QUIET_LOG
 from linedeal.lab.processes import ProcessCluster
@@ -45,34 +48,37 @@
 
 
 class Fleet:
-    """Five controllers, three of them members, and two hosts; a sampler that reads the council all the time."""
+    """Five controllers, three of them members of the council, and two hosts.
+
+    A sampler reads the duty and the census all the time.
+    """
 
-    def __init__(self, ground: ProcessCluster, asker: CouncilClient):
-        self.ground, self.asker = ground, asker
+    def __init__(self, cluster: ProcessCluster, client: CouncilClient):
+        self.cluster, self.client = cluster, client
         self.duties: list[duty.Duty] = []
         self.results: list[census.Census] = []
 
     async def sample(self) -> None:
         while True:
-            for name, kept, read in (
+            for name, samples, decode in (
                 (CENSUS_DUTY, self.duties, duty.decode),
-                (census.CENSUS_KEY, self.results, self.result),
+                (census.CENSUS_KEY, self.results, self.decode_census),
             ):
-                told = await self.asker.read(name, 1.0)
-                if told.outcome is Outcome.READ and told.value.body:
-                    kept.append(read(told.value.body))
+                reply = await self.client.read(name, 1.0)
+                if reply.outcome is Outcome.READ and reply.value.body:
+                    samples.append(decode(reply.value.body))
             await anyio.sleep(0.1)
 
-    def result(self, body: bytes) -> census.Census:
+    def decode_census(self, body: bytes) -> census.Census:
         return census.decode(body, census.Census)
 
-    async def until(self, holds, within: float = 15.0) -> None:
-        """Fails the test with what was seen last."""
+    async def wait_until(self, condition, within: float = 15.0) -> None:
+        """Waits for the condition; fails the test with the last samples."""
         with anyio.move_on_after(within):
-            while not holds():
+            while not condition():
                 await anyio.sleep(0.1)
             return
-        assert holds(), (self.duties[-3:], self.results[-3:])
+        assert condition(), (self.duties[-3:], self.results[-3:])
 
     def owner(self) -> str:
         return self.duties[-1].owner.partition("/")[0] if self.duties else ""
@@ -83,26 +89,27 @@
     async def status(self) -> dict:
         found = {}
         for member in ("c1", "c2", "c3"):
-            told = await self.asker.request_member(member, pb.CouncilAsk(kind=pb.STATUS), 1.0)
-            found[member] = json.loads(told.body) if told is not None else None
+            reply = await self.client.request_member(member, pb.CouncilAsk(kind=pb.STATUS), 1.0)
+            found[member] = json.loads(reply.body) if reply is not None else None
         return found
 
     def log(self, name: str) -> str:
-        return (self.ground.directory / f"{name}.log").read_text()
+        return (self.cluster.directory / f"{name}.log").read_text()
 
-    def judge(self) -> None:
-        """What no fault may bring about."""
-        tokens = [one.token for one in self.duties]
+    def check_invariants(self) -> None:
+        """Checks what must hold under any failure."""
+        tokens = [sample.token for sample in self.duties]
         assert tokens == sorted(tokens)
         owners = {}
-        for one in self.duties:
-            if one.owner:
-                assert owners.setdefault(one.token, one.owner) == one.owner, "one token, two owners"
-        numbers = [(one.token, one.number) for one in self.results]
+        for sample in self.duties:
+            if sample.owner:
+                assert owners.setdefault(sample.token, sample.owner) == sample.owner, "one token, two owners"
+        numbers = [(sample.token, sample.number) for sample in self.results]
         assert numbers == sorted(numbers), "an old owner's census was written over a later one's"
 
 
-def play(directory, course) -> None:
+def run_scenario(directory, scenario) -> None:
+    """Starts the cluster, waits for a complete census, runs `scenario(fleet)` and checks the samples."""
     (directory / "cluster.hcl").write_text(CLUSTER.replace("controllers = 1", "controllers = 5") + COUNCIL)
     day = parse_day(
         "cluster cluster.hcl\ncontrollers 5 zones a b\nhosts 2 kind std zones a b\nload web 1",
@@ -112,34 +119,36 @@
 
     async def main():
         with anyio.fail_after(240):
-            async with ProcessCluster(day, directory / "day") as ground:
-                settings = read_cluster(ground.cluster_path).council
-                async with CouncilClient(settings, "sampler", "", TcpNet(), lambda: 0.5) as asker:
-                    fleet = Fleet(ground, asker)
+            async with ProcessCluster(day, directory / "day") as cluster:
+                settings = read_cluster(cluster.cluster_path).council
+                async with CouncilClient(settings, "sampler", "", TcpNet(), lambda: 0.5) as client:
+                    fleet = Fleet(cluster, client)
                     async with anyio.create_task_group() as tasks:
                         tasks.start_soon(fleet.sample)
-                        await fleet.until(
+                        await fleet.wait_until(
                             lambda: fleet.owner() and fleet.results and fleet.results[-1].controllers == 5
                         )
-                        await course(fleet)
-                        fleet.judge()
+                        await scenario(fleet)
+                        fleet.check_invariants()
                         tasks.cancel_scope.cancel()
 
     anyio.run(main)
 
 
-async def placed(fleet: Fleet, at: str) -> bool:
-    async with Client.connect(TcpNet(), fleet.ground.controllers[at], "owner") as client:
+async def is_placed(fleet: Fleet, at: str) -> bool:
+    """Submits a job to the controller `at`, and returns whether it was placed."""
+    async with Client.connect(TcpNet(), fleet.cluster.controllers[at], "owner") as client:
         return (await client.submit(JobRequest("web", "", "s1", 1.0, 1.0))).verdict == "placed"
 
 
-def test_a_member_that_had_to_ask_itself_asks_others_again(tmp_path):
-    # guards against reports that only the reporter has from then on: killed, it is never missed
+def test_a_client_that_had_to_ask_its_own_member_asks_others_again(tmp_path):
+    # A client that stayed with its own member would report to itself only: after its process is killed,
+    # no other member would know of it, and the census would never show it as missing.
     asked, up = [], set()
 
     async def main():
         settings = CouncilSettings("x", places={name: ("127.0.0.1", 9) for name in ("c1", "c2", "c3")})
-        async with CouncilClient(settings, "c1/1", "", TcpNet(), lambda: 0.5) as asker:
+        async with CouncilClient(settings, "c1/1", "", TcpNet(), lambda: 0.5) as client:
 
             async def send_request(member, said, within):
                 asked.append(member)
@@ -147,251 +156,251 @@
                     raise LinkLostError("not up yet")
                 return pb.CouncilTold(outcome="READ")
 
-            asker.send_request = send_request
+            client.send_request = send_request
             up.add("c1")
-            assert (await asker.request(pb.CouncilAsk(kind=pb.READ), 5.0)).member == "c1"
+            assert (await client.request(pb.CouncilAsk(kind=pb.READ), 5.0)).member == "c1"
             up.update(("c2", "c3"))
-            assert (await asker.request(pb.CouncilAsk(kind=pb.READ), 5.0)).member == "c2"
-            assert (await asker.request(pb.CouncilAsk(kind=pb.READ), 5.0)).member == "c2"
+            assert (await client.request(pb.CouncilAsk(kind=pb.READ), 5.0)).member == "c2"
+            assert (await client.request(pb.CouncilAsk(kind=pb.READ), 5.0)).member == "c2"
 
     anyio.run(main)
     assert asked == ["c2", "c3", "c1", "c2", "c2"]
 
 
-def test_a_day_leaves_no_process_behind(tmp_path):
+def test_all_processes_have_ended_after_a_scenario(tmp_path):
     started = []
 
-    async def course(fleet):
-        started.extend(fleet.ground.running.values())
+    async def scenario(fleet):
+        started.extend(fleet.cluster.running.values())
 
-    play(tmp_path, course)
+    run_scenario(tmp_path, scenario)
     assert len(started) >= 9 and all(process.returncode is not None for process in started)
 
 
-def test_an_owner_that_is_killed_is_followed_within_two_leases_and_jobs_are_placed_meanwhile(tmp_path):
-    async def course(fleet):
+def test_a_killed_owner_is_replaced_after_its_lease_and_is_missing_in_the_census(tmp_path):
+    async def scenario(fleet):
         owner, token = fleet.owner(), fleet.token()
-        await fleet.ground.kill(owner)
+        await fleet.cluster.kill(owner)
         killed = anyio.current_time()
-        await fleet.until(lambda: fleet.token() > token and fleet.results[-1].token > token)
+        await fleet.wait_until(lambda: fleet.token() > token and fleet.results[-1].token > token)
         assert anyio.current_time() - killed < 3 * LEASE + 2.0, (
-            "measured without other load: benchmarks/duties.py"
+            "the delay on an idle machine is measured in benchmarks/duties.py"
         )
         assert fleet.owner() != owner
-        await fleet.until(lambda: owner in fleet.results[-1].missing, 20)
+        await fleet.wait_until(lambda: owner in fleet.results[-1].missing, 20)
 
-    play(tmp_path, course)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_owner_that_is_told_to_leave_gives_its_duty_up(tmp_path):
-    async def course(fleet):
+def test_an_owner_that_shuts_down_resigns_its_duty(tmp_path):
+    async def scenario(fleet):
         owner, token = fleet.owner(), fleet.token()
-        fleet.ground.running[owner].terminate()
-        await fleet.until(lambda: fleet.token() > token and fleet.owner() not in ("", owner))
-        assert '"given up"' in fleet.log(owner), "nobody had to wait for its lease to end"
+        fleet.cluster.running[owner].terminate()
+        await fleet.wait_until(lambda: fleet.token() > token and fleet.owner() not in ("", owner))
+        assert '"given up"' in fleet.log(owner), "the duty had to be resigned, not left to expire"
 
-    play(tmp_path, course)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_owner_that_stands_still_past_its_lease_does_no_harm_when_it_goes_on(tmp_path):
-    async def course(fleet):
+def test_an_owner_suspended_past_its_lease_does_no_harm_when_it_resumes(tmp_path):
+    async def scenario(fleet):
         for _ in range(2):
             owner, token = fleet.owner(), fleet.token()
-            await fleet.ground.set_paused(owner, True)
-            await fleet.until(lambda: fleet.token() > token and fleet.results[-1].token > token)
-            await fleet.ground.set_paused(owner, False)
+            await fleet.cluster.set_paused(owner, True)
+            await fleet.wait_until(lambda: fleet.token() > token and fleet.results[-1].token > token)  # noqa: B023 - called in this iteration only
+            await fleet.cluster.set_paused(owner, False)
             await anyio.sleep(LEASE)
             assert fleet.results[-1].token > token and "duty lost" in fleet.log(owner)
 
-    play(tmp_path, course)
+    run_scenario(tmp_path, scenario)
 
 
-def test_an_owner_cut_off_from_the_council_stops_and_another_follows(tmp_path):
-    async def course(fleet):
+def test_an_owner_cut_off_from_the_council_loses_its_duty_to_another(tmp_path):
+    async def scenario(fleet):
         owner, token = fleet.owner(), fleet.token()
         others = [name for name in ("c1", "c2", "c3") if name != owner]
         pairs = [(owner, other) for other in others] + [(other, owner) for other in others]
-        await fleet.ground.cut(pairs, True)
-        await fleet.until(lambda: fleet.token() > token and fleet.owner() != owner)
-        await fleet.until(lambda: "duty lost" in fleet.log(owner))
-        await fleet.ground.cut(pairs, False)
+        await fleet.cluster.cut(pairs, True)
+        await fleet.wait_until(lambda: fleet.token() > token and fleet.owner() != owner)
+        await fleet.wait_until(lambda: "duty lost" in fleet.log(owner))
+        await fleet.cluster.cut(pairs, False)
         await anyio.sleep(LEASE)
 
-    play(tmp_path, course)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_duty_handed_over_twenty_times_in_a_minute_has_one_owner_at_a_time(tmp_path):
-    async def course(fleet):
-        for _ in range(20):  # within a minute, where the machine has nothing else to do
+def test_a_duty_handed_over_twenty_times_has_one_owner_at_a_time(tmp_path):
+    async def scenario(fleet):
+        for _ in range(20):  # takes less than a minute on an idle machine
             token = fleet.token()
-            await operator.hand_over(fleet.asker, CENSUS_DUTY, "", 20.0)
-            await fleet.until(lambda: fleet.token() > token and fleet.owner(), 40)
+            await operator.hand_over(fleet.client, CENSUS_DUTY, "", 20.0)
+            await fleet.wait_until(lambda: fleet.token() > token and fleet.owner(), 40)  # noqa: B023 - called in this iteration only
         number = fleet.results[-1].token
-        await fleet.until(
+        await fleet.wait_until(
             lambda: fleet.results[-1].token > number or fleet.results[-1].token == fleet.token()
         )
 
-    play(tmp_path, course)
+    run_scenario(tmp_path, scenario)
 
 
 def test_a_member_is_replaced_while_the_owner_changes(tmp_path):
-    async def course(fleet):
-        await fleet.ground.kill("c3")
-        for file in (fleet.ground.directory / "c3").glob("council.db*"):
+    async def scenario(fleet):
+        await fleet.cluster.kill("c3")
+        for file in (fleet.cluster.directory / "c3").glob("council.db*"):
             file.unlink()
-        await fleet.ground.start("c3")
-        await until_status(fleet, "c1", lambda stands: "c3" in stands["candidates"])
+        await fleet.cluster.start("c3")
+        await wait_for_status(fleet, "c1", lambda status: "c3" in status["candidates"])
         token = fleet.token()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(operator.hand_over, fleet.asker, CENSUS_DUTY, "", 8.0)
-            told = await fleet.asker.request(pb.CouncilAsk(kind=pb.REPLACE, key="c3", id="c3"), 8.0)
-        assert told.outcome is Outcome.DONE
-        await until_status(fleet, "c3", lambda stands: stands["votes"] and stands["epoch"] == 2)
-        await fleet.until(lambda: fleet.token() > token and fleet.results[-1].token > token)
+            tasks.start_soon(operator.hand_over, fleet.client, CENSUS_DUTY, "", 8.0)
+            reply = await fleet.client.request(pb.CouncilAsk(kind=pb.REPLACE, key="c3", id="c3"), 8.0)
+        assert reply.outcome is Outcome.DONE
+        await wait_for_status(fleet, "c3", lambda status: status["votes"] and status["epoch"] == 2)
+        await fleet.wait_until(lambda: fleet.token() > token and fleet.results[-1].token > token)
 
-    play(tmp_path, course)
+    run_scenario(tmp_path, scenario)
 
 
-def test_two_duties_ask_one_member_at_once_over_one_link(tmp_path):
+def test_concurrent_requests_share_one_link_to_a_member(tmp_path):
     async def main():
         settings = CouncilSettings(id="lapa", places={"c1": ("127.0.0.1", 0)})
         council = CouncilService(settings, "c1", tmp_path, ("127.0.0.1", 0), "", TcpNet(), QUIET_LOG)
-        answers = []
+        outcomes = []
         async with anyio.create_task_group() as tasks:
             with anyio.fail_after(30):
-                seat = await tasks.start(council.run)
+                address = await tasks.start(council.run)
                 async with (
                     CouncilClient(
-                        replace(settings, places={"c1": seat}), "tester", "", TcpNet(), lambda: 0.5
-                    ) as asker,
-                    anyio.create_task_group() as asks,
+                        replace(settings, places={"c1": address}), "tester", "", TcpNet(), lambda: 0.5
+                    ) as client,
+                    anyio.create_task_group() as requests,
                 ):
 
-                    async def one(number):
+                    async def change_register(number):
                         change = Change(f"x{number}", 0, b"x" * 8000)
-                        answers.append((await asker.change(f"key{number}", change, 10.0)).outcome)
+                        outcomes.append((await client.change(f"key{number}", change, 10.0)).outcome)
 
                     for number in range(30):
-                        asks.start_soon(one, number)
+                        requests.start_soon(change_register, number)
             tasks.cancel_scope.cancel()
-        assert answers == [Outcome.DONE] * 30
+        assert outcomes == [Outcome.DONE] * 30
 
     anyio.run(main)
 
 
-def test_a_refusal_inside_an_askers_block_comes_out_as_it_is():
+def test_an_error_inside_a_clients_block_is_raised_as_it_is():
     async def main():
         settings = CouncilSettings(id="lapa", places={"c1": ("127.0.0.1", 1)})
-        async with CouncilClient(settings, "tester", "", TcpNet(), lambda: 0.5) as asker:
-            await asker.read("x", 0.2)
+        async with CouncilClient(settings, "tester", "", TcpNet(), lambda: 0.5) as client:
+            await client.read("x", 0.2)
             raise DutyError("as it is")
 
     with pytest.raises(DutyError, match="as it is"):
         anyio.run(main)
 
 
-def test_a_fault_of_the_fleets_part_begins_it_anew(monkeypatch):
+def test_isolated_work_is_restarted_after_an_exception(monkeypatch):
     monkeypatch.setattr(isolation, "RESTART_DELAY", (0.01, 0.02))
-    lives = []
+    runs = []
 
     async def work():
-        lives.append(1)
-        if len(lives) < 4:
-            raise KeyError("a fault of the program")
+        runs.append(1)
+        if len(runs) < 4:
+            raise KeyError("a program error")
 
     async def main():
         with anyio.fail_after(5):
             await isolation.run_isolated("duties", work, QUIET_LOG)
 
     anyio.run(main)
-    assert len(lives) == 4
+    assert len(runs) == 4
 
 
-def test_without_a_majority_duties_stand_still_jobs_do_not_and_a_heal_brings_them_back(tmp_path):
-    async def course(fleet):
+def test_without_a_majority_duties_stop_jobs_are_placed_and_duties_resume_with_it(tmp_path):
+    async def scenario(fleet):
         token, number = fleet.token(), len(fleet.duties)
-        await fleet.ground.set_paused("c2", True)
-        await fleet.ground.set_paused("c3", True)
+        await fleet.cluster.set_paused("c2", True)
+        await fleet.cluster.set_paused("c3", True)
         await anyio.sleep(2 * LEASE)
-        told = await fleet.asker.change("x", Change("x1", 0, b"x"), 3.5)
-        assert told.outcome is Outcome.UNKNOWN and {one.partition(":")[0] for one in told.unanswered} == {
+        reply = await fleet.client.change("x", Change("x1", 0, b"x"), 3.5)
+        assert reply.outcome is Outcome.UNKNOWN and {one.partition(":")[0] for one in reply.unanswered} == {
             "c1",
             "c2",
             "c3",
         }
-        assert await placed(fleet, "c1") and await placed(fleet, "c4")
-        await fleet.ground.set_paused("c2", False)
-        await fleet.ground.set_paused("c3", False)
-        await fleet.until(lambda: fleet.token() > token)
+        assert await is_placed(fleet, "c1") and await is_placed(fleet, "c4")
+        await fleet.cluster.set_paused("c2", False)
+        await fleet.cluster.set_paused("c3", False)
+        await fleet.wait_until(lambda: fleet.token() > token)
         assert len(fleet.duties) > number
 
-    play(tmp_path, course)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_member_that_lost_its_disk_is_put_in_anew_and_an_older_copy_retires(tmp_path):
-    async def course(fleet):
-        directory = fleet.ground.directory / "c3"
-        await fleet.ground.kill("c3")
+def test_a_member_that_lost_its_directory_is_replaced_and_an_older_copy_retires(tmp_path):
+    async def scenario(fleet):
+        directory = fleet.cluster.directory / "c3"
+        await fleet.cluster.kill("c3")
         copied = tmp_path / "copy"
         shutil.copytree(directory, copied)
-        await fleet.ground.start("c3")
-        await until_status(fleet, "c3", lambda stands: stands["votes"])
+        await fleet.cluster.start("c3")
+        await wait_for_status(fleet, "c3", lambda status: status["votes"])
         await anyio.sleep(2)
-        await fleet.ground.kill("c3")
+        await fleet.cluster.kill("c3")
         shutil.rmtree(directory)
         shutil.copytree(copied, directory)
-        await fleet.ground.start("c3")
-        await until_status(fleet, "c3", lambda stands: "newer copy" in stands["retired"])
-        await fleet.ground.kill("c3")
+        await fleet.cluster.start("c3")
+        await wait_for_status(fleet, "c3", lambda status: "newer copy" in status["retired"])
+        await fleet.cluster.kill("c3")
         for file in directory.glob("council.db*"):
             file.unlink()
-        await fleet.ground.start("c3")
-        await until_status(fleet, "c3", lambda stands: not stands["epoch"] and stands["elsewhere"])
-        await until_status(fleet, "c1", lambda stands: "c3" in stands["candidates"])
-        told = await fleet.asker.request(pb.CouncilAsk(kind=pb.REPLACE, key="c3", id="c3"), 5.0)
-        assert told.outcome is Outcome.DONE
-        await until_status(fleet, "c3", lambda stands: stands["votes"] and stands["epoch"] == 2)
-        await fleet.ground.set_paused("c1", True)
+        await fleet.cluster.start("c3")
+        await wait_for_status(fleet, "c3", lambda status: not status["epoch"] and status["elsewhere"])
+        await wait_for_status(fleet, "c1", lambda status: "c3" in status["candidates"])
+        reply = await fleet.client.request(pb.CouncilAsk(kind=pb.REPLACE, key="c3", id="c3"), 5.0)
+        assert reply.outcome is Outcome.DONE
+        await wait_for_status(fleet, "c3", lambda status: status["votes"] and status["epoch"] == 2)
+        await fleet.cluster.set_paused("c1", True)
         number = len(fleet.results)
-        await fleet.until(lambda: len(fleet.results) > number + 5, 10)
-        await fleet.ground.set_paused("c1", False)
+        await fleet.wait_until(lambda: len(fleet.results) > number + 5, 10)
+        await fleet.cluster.set_paused("c1", False)
 
-    play(tmp_path, course)
+    run_scenario(tmp_path, scenario)
 
 
-def test_who_asked_is_told_when_the_disk_fails_and_the_next_life_goes_on(tmp_path, monkeypatch):
+def test_a_request_gets_a_reply_when_the_disk_fails_and_the_next_life_continues(tmp_path, monkeypatch):
     async def main():
         settings = CouncilSettings(id="lapa", places={"c1": ("127.0.0.1", 0)})
         council = CouncilService(settings, "c1", tmp_path, ("127.0.0.1", 0), "", TcpNet(), QUIET_LOG)
         async with anyio.create_task_group() as tasks:
             with anyio.fail_after(15):
-                seat = await tasks.start(council.run)
+                address = await tasks.start(council.run)
                 async with CouncilClient(
-                    replace(settings, places={"c1": seat}), "tester", "", TcpNet(), lambda: 0.5
-                ) as asker:
-                    assert (await asker.change("x", Change("x1", 0, b"x"), 5.0)).outcome is Outcome.DONE
-                    real = CouncilStore.write
+                    replace(settings, places={"c1": address}), "tester", "", TcpNet(), lambda: 0.5
+                ) as client:
+                    assert (await client.change("x", Change("x1", 0, b"x"), 5.0)).outcome is Outcome.DONE
+                    original_write = CouncilStore.write
 
-                    def full(disk, keeps):
-                        monkeypatch.setattr(CouncilStore, "write", real)
+                    def fail_once(store, effects):
+                        monkeypatch.setattr(CouncilStore, "write", original_write)
                         raise StoreError("disk full")
 
-                    monkeypatch.setattr(CouncilStore, "write", full)
+                    monkeypatch.setattr(CouncilStore, "write", fail_once)
                     change = pb.CouncilAsk(kind=pb.CHANGE, key="x", id="x2", expect=1, body=b"y")
-                    told = await asker.request_member("c1", change, 0.9)
-                    assert told.outcome == "UNKNOWN" and not council.pending
-                    assert (await asker.change("x", Change("x2", 1, b"y"), 5.0)).outcome is Outcome.DONE
+                    reply = await client.request_member("c1", change, 0.9)
+                    assert reply.outcome == "UNKNOWN" and not council.pending
+                    assert (await client.change("x", Change("x2", 1, b"y"), 5.0)).outcome is Outcome.DONE
             tasks.cancel_scope.cancel()
 
     anyio.run(main)
 
 
-async def until_status(fleet: Fleet, member: str, holds, within: float = 12.0) -> None:
-    stands = None
+async def wait_for_status(fleet: Fleet, member: str, condition, within: float = 12.0) -> None:
+    status = None
     with anyio.move_on_after(within):
         while True:
-            stands = (await fleet.status())[member]
-            if stands is not None and holds(stands):
+            status = (await fleet.status())[member]
+            if status is not None and condition(status):
                 return
             await anyio.sleep(0.2)
-    pytest.fail(f"{member} stands as {stands}")
+    pytest.fail(f"{member} has the status {status}")
