--- a/tests/test_campaign.py
+++ b/tests/test_campaign.py
@@ -31,8 +31,8 @@
 from linedeal.duties.duty import Duty, DutyError
 from linedeal.fleet.hosts import HostNow, HostsNow
 from linedeal.fleet.operator import HostSelection, plan_campaign
-from linedeal.lab.record import Recorder
 from linedeal.lab.campaign_simulation import FaultModel, run_simulations
+from linedeal.lab.record import Recorder
 from linedeal.protocol import encode, pb
 from linedeal.settings.cluster import ConfigError, parse_cluster
 
