--- a/linedeal/lab/balance_day.py
+++ b/linedeal/lab/balance_day.py
@@ -1,15 +1,18 @@
-"""The day on which evenness is measured, and its troubles: a file that any playground plays."""
+"""The day on which load balance is measured, with one trouble at half its length.
+
+It is written as a day file, so every kind of cluster in this package can play it.
+"""
 
 from pathlib import Path
 
 from linedeal.lab.day import Day, parse_day
 
-ROOM = 32.0  # cores that a host of kind std accepts: twice its sixteen
-LIFE, SETUP = 12.0, 0.5  # of the hosts' habits, seconds
-CORES = 2.5  # of the mean job
-RUN = (
-    1.377 * LIFE + SETUP
-)  # seconds that the mean job asks for its cores: the mean of the hosts' lives, lognormal by 0.8
+ACCEPTED_CORES = 32.0  # cores that a host of kind std accepts: twice the sixteen that it has
+JOB_SECONDS, SETUP = 12.0, 0.5  # host behavior: median run time of a job, and setup time, in seconds
+MEAN_CORES = 2.5  # requested by a job
+# Seconds for which an average job holds its cores. Run times are log-normal with sigma 0.8, so their mean is
+# 1.377 times their median.
+MEAN_HOLD_SECONDS = 1.377 * JOB_SECONDS + SETUP
 
 CLUSTER = """
 cluster {{
@@ -30,7 +33,8 @@
 }}
 """
 
-# each from `at` on; hosts by number, as a day writes them
+# Orders of a day file by name of the trouble. `{at}` is the time of its start; `zone-hosts:a` and the words
+# `third`, `half` and `quarter` are replaced with names of hosts or controllers in `write_day`.
 TROUBLES = {
     "calm": "",
     "restart": "at {at} kill controllers for 1",
@@ -48,7 +52,7 @@
 }
 
 
-def even_day(
+def write_day(
     directory: Path,
     controllers: int,
     hosts: int,
@@ -57,10 +61,14 @@
     trouble: str = "calm",
     seed: int = 1,
 ) -> tuple[Day, Path]:
-    """At that share of room, with one trouble at half its length; its files are written into the directory."""
+    """Writes the day file and its cluster file into the directory; returns the parsed day and its path.
+
+    `length`: seconds of load. `room`: requested cores as a share of what the hosts accept. `trouble`: a key
+    of `TROUBLES`.
+    """
     directory.mkdir(parents=True, exist_ok=True)
     (directory / "cluster.hcl").write_text(CLUSTER.format(controllers=controllers), encoding="utf-8")
-    rate = room * hosts * ROOM / (CORES * RUN)
+    rate = room * hosts * ACCEPTED_CORES / (MEAN_CORES * MEAN_HOLD_SECONDS)
     at = round(length / 2, 1)
     line = TROUBLES[trouble].format(at=at)
     zone = [f"h{n + 1:02}" for n in range(hosts) if n % 3 == 0]
@@ -72,7 +80,7 @@
 seed {seed}
 length {length:g}
 controllers {controllers} zones a b c
-habit setup={SETUP} life={LIFE}
+habit setup={SETUP} life={JOB_SECONDS}
 hosts {hosts} kind std zones a b c cells 5
 load web {rate:.3f} cores=1-4 memory=1-4 services={max(8, hosts // 3)} customers=school
 {line}
--- a/linedeal/lab/load_plot.py
+++ b/linedeal/lab/load_plot.py
@@ -1,18 +1,23 @@
-"""Pictures of a fleet's load over time. matplotlib is needed for these alone."""
+"""Plots the load of all hosts over time. Only this module needs matplotlib."""
 
+from collections.abc import Sequence
 from pathlib import Path
-from typing import Sequence
 
-from linedeal.lab.balance_metrics import Arrival, HostAt, over_time
+from linedeal.lab.balance_metrics import Arrival, HostSample, spread_over_time
 
 
 def plot_load(
     path: Path,
-    days: dict[str, tuple[Sequence[HostAt], Sequence[Arrival]]],
+    days: dict[str, tuple[Sequence[HostSample], Sequence[Arrival]]],
     troubles: Sequence[tuple[float, str]] = (),
 ) -> None:
-    """For each policy: its hosts' load as a heat map, hosts in rows by kind and zone; below, most over mean and launches
-    turned away a second. Troubles are marked. Written as PNG."""
+    """Writes a PNG with one heat map for each policy, with a row for each host, ordered by kind and zone.
+
+    Below them follow the ratio of the maximum to the mean load, and the launches per second that were refused
+    for lack of capacity.
+
+    `days`: samples and arrivals by policy. `troubles`: times in seconds and names, drawn as vertical lines.
+    """
     import matplotlib
 
     matplotlib.use("Agg")
@@ -21,7 +26,7 @@
     figure, axes = pyplot.subplots(
         len(days) + 2, 1, figsize=(11, 2.6 * (len(days) + 2)), sharex=True, layout="constrained"
     )
-    for axis, (policy, (samples, _)) in zip(axes, days.items()):
+    for axis, (policy, (samples, _)) in zip(axes, days.items(), strict=False):
         hosts = sorted({(sample.kind, sample.zone, sample.host) for sample in samples})
         rows = {host: row for row, (*_, host) in enumerate(hosts)}
         times = sorted({sample.t for sample in samples})
@@ -29,7 +34,7 @@
         grid = [[float("nan")] * len(times) for _ in hosts]
         for sample in samples:
             grid[rows[sample.host]][columns[sample.t]] = sample.asked
-        shown = axis.imshow(
+        image = axis.imshow(
             grid,
             aspect="auto",
             origin="lower",
@@ -41,16 +46,20 @@
         )
         axis.set_ylabel("host, by kind and zone")
         axis.set_title(f"{policy}: cores asked, as a share of what the host accepts", fontsize=10)
-        figure.colorbar(shown, ax=axis, fraction=0.03, pad=0.01)
+        figure.colorbar(image, ax=axis, fraction=0.03, pad=0.01)
     for policy, (samples, arrivals) in days.items():
         for kind in sorted({sample.kind for sample in samples}):
-            spread = [(t, at.most_over_mean) for t, its, at in over_time(samples) if its == kind]
-            axes[-2].plot(*zip(*spread), label=f"{policy}, {kind}", linewidth=1)
-        seconds: dict[int, int] = {}
+            ratios = [
+                (t, spread.most_over_mean)
+                for t, sample_kind, spread in spread_over_time(samples)
+                if sample_kind == kind
+            ]
+            axes[-2].plot(*zip(*ratios, strict=False), label=f"{policy}, {kind}", linewidth=1)
+        refusals: dict[int, int] = {}  # by second
         for arrival in arrivals:
-            seconds[int(arrival.t)] = seconds.get(int(arrival.t), 0) + arrival.refused
+            refusals[int(arrival.t)] = refusals.get(int(arrival.t), 0) + arrival.refused
         axes[-1].step(
-            sorted(seconds), [seconds[t] for t in sorted(seconds)], where="post", label=policy, linewidth=1
+            sorted(refusals), [refusals[t] for t in sorted(refusals)], where="post", label=policy, linewidth=1
         )
     axes[-2].set_ylabel("most over mean")
     axes[-2].set_ylim(1, 4)
@@ -59,9 +68,9 @@
     for axis in axes[-2:]:
         axis.legend(fontsize=8)
         axis.grid(alpha=0.3)
-    for t, what in troubles:
+    for t, name in troubles:
         for axis in axes:
             axis.axvline(t, color="red", linewidth=0.8)
-        axes[-2].text(t, 3.8, f" {what}", color="red", fontsize=8, va="top")
+        axes[-2].text(t, 3.8, f" {name}", color="red", fontsize=8, va="top")
     figure.savefig(path, dpi=90)
     pyplot.close(figure)
