--- a/linedeal/lab/mutants.py
+++ b/linedeal/lab/mutants.py
@@ -1,12 +1,12 @@
-"""The council's core with one guard taken out at a time, and which case shows it: the explorer's own test.
+"""Mutation test of the model checker: the council with one safeguard removed at a time.
 
-`hunt` says after how many steps and how long a fault was found. A fault that is not found would mean that the explorer
-is blind, not that the guard is idle.
+Each mutant comes with the case whose schedules show that the safeguard is missing. A mutant that is not
+detected means that the model checker misses violations, not that the safeguard is superfluous.
 """
 
+from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 from dataclasses import dataclass, replace
-from typing import Callable, Iterator
 from unittest import mock
 
 from linedeal.council import reconfiguration, rounds, slots, staleness
@@ -14,12 +14,12 @@
 from linedeal.council.records import Outcome, Roster, Send
 from linedeal.council.rounds import RoundResult
 from linedeal.lab.model_checker import (
-    FaultBudget,
     Case,
-    Found,
+    FaultBudget,
+    SearchResult,
+    explore_random,
     read_request,
     replacement_request,
-    explore_random,
     write_request,
 )
 
@@ -30,7 +30,7 @@
     write_request(4, "c", 1),
     read_request(5, "a"),
 )
-CALM = Case(3, TWO_WRITERS, FaultBudget(drops=4, duplicates=2, timers=8))
+WITHOUT_CRASHES = Case(3, TWO_WRITERS, FaultBudget(drops=4, duplicates=2, timers=8))
 LOSSY = Case(3, TWO_WRITERS, FaultBudget(drops=3, duplicates=3, crashes=3, timers=8))
 STALE_COPIES = Case(3, TWO_WRITERS, FaultBudget(drops=3, duplicates=2, crashes=1, timers=8, rollbacks=2))
 RECONFIGURATION = Case(
@@ -47,7 +47,7 @@
     FaultBudget(drops=4, duplicates=1, crashes=1, timers=25),
     ("d",),
 )
-ASKED_TWICE = Case(
+REPEATED_CHANGE = Case(
     3,
     (
         write_request(1, "a", id="w"),
@@ -61,22 +61,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Mutant:
-    """A guard taken out. `where.what` is put in place of the true one while it is played."""
+    """A removed safeguard: the attribute of `target` is replaced while the case is run."""
 
     name: str
     case: Case
-    where: object
-    what: str
-    put: Callable
+    target: object
+    attribute: str
+    replacement: Callable
 
 
-def forget_votes(self: Member, *records) -> None:
-    true_keep(self, *[record for record in records if not record[0].startswith("slot/")])
+def persist_no_votes(self: Member, *records) -> None:
+    """Keeps slots in memory only."""
+    original_persist(self, *[record for record in records if not record[0].startswith("slot/")])
 
 
-def forget_promises(self: Member, *records) -> None:
-    """A promise alone stays in memory."""
-    true_keep(
+def persist_no_promises(self: Member, *records) -> None:
+    """Keeps a promise without a vote in memory only."""
+    original_persist(
         self,
         *[
             record
@@ -86,51 +87,59 @@
     )
 
 
-def tell_first(self: Member) -> list:
-    """Sends ahead of what they rest on."""
-    out = true_done(self)
-    return [one for one in out if type(one) is Send] + [one for one in out if type(one) is not Send]
+def send_before_persist(self: Member) -> list:
+    """Sends packets before the records that they depend on are on disk."""
+    effects = original_take_effects(self)
+    return [effect for effect in effects if type(effect) is Send] + [
+        effect for effect in effects if type(effect) is not Send
+    ]
 
 
-def own_majority(self: Roster) -> int:
+def half_as_majority(self: Roster) -> int:
+    """Returns the size of a majority less one."""
     return len(self.members) // 2
 
 
-def oldest(votes):
+def lowest_vote(votes):
+    """Returns the vote at the lowest ballot instead of the highest."""
     return min(votes, key=lambda vote: vote[0])
 
 
-def count_twice(round, name, said, majority, number):
-    """Replies are told apart by when they come, not by who sent them."""
-    return true_heard(round, f"{name}{len(round.votes)}", said, majority, number)
+def count_repeated_replies(round, name, reply, majority, number):
+    """Counts every reply as if it came from another member."""
+    return original_handle_reply(round, f"{name}{len(round.votes)}", reply, majority, number)
 
 
-def read_unchosen(round, number):
-    """A read answers what it found, without writing it back."""
-    after = true_promised(round, number)
+def answer_read_without_accept(round, number):
+    """Answers a read with the value of the prepare phase, without proposing it again."""
+    after = original_finish_prepare(round, number)
     return RoundResult(Outcome.READ, after.proposal) if round.request.change is None else after
 
 
-def merge_one(states):
-    return true_merged(list(states)[:1])
+def merge_first_state(states):
+    """Takes over the state of one member instead of a majority."""
+    return original_merge_states(list(states)[:1])
 
 
 def never_seal(self: Member, roster: Roster) -> None:
+    """Does not stop voting in the old epoch."""
     pass
 
 
-def no_memory(value, change):
+def apply_without_ids(value, change):
+    """Does not recognize a repeated change."""
     if value.version != change.expect:
         return Outcome.CONFLICT, value
-    return true_changed(value, change)
+    return original_apply_change(value, change)
 
 
-def any_ballot(slot, ballot, value):
+def accept_any_ballot(slot, ballot, value):
+    """Accepts a value even if a higher ballot was promised."""
     return replace(slot, promised=max(ballot, slot.promised), accepted=ballot, value=value)
 
 
-true_keep, true_done = Member.persist, Member.take_effects
-true_heard, true_promised, true_merged, true_changed = (
+original_persist, original_take_effects = Member.persist, Member.take_effects
+original_handle_reply, original_finish_prepare, original_merge_states, original_apply_change = (
     rounds.handle_reply,
     rounds.finish_prepare,
     reconfiguration.merge_states,
@@ -138,39 +147,47 @@
 )
 
 MUTANTS = (
-    Mutant("a promise is forgotten at once", CALM, slots, "prepare", lambda slot, ballot: slot),
-    Mutant("a promise is not kept on disk", LOSSY, Member, "persist", forget_promises),
-    Mutant("a vote is not kept on disk", LOSSY, Member, "persist", forget_votes),
-    Mutant("a vote is told before it is on disk", LOSSY, Member, "take_effects", tell_first),
-    Mutant("a majority is one too few", CALM, Roster, "majority", property(own_majority)),
-    Mutant("the oldest vote is carried on, not the newest", CALM, slots, "highest_vote", oldest),
-    Mutant("one member's replies count twice", LOSSY, rounds, "handle_reply", count_twice),
-    Mutant("a member accepts below its promise", CALM, slots, "accept", any_ballot),
+    Mutant("a promise is not remembered", WITHOUT_CRASHES, slots, "prepare", lambda slot, ballot: slot),
+    Mutant("a promise is not written to disk", LOSSY, Member, "persist", persist_no_promises),
+    Mutant("a vote is not written to disk", LOSSY, Member, "persist", persist_no_votes),
+    Mutant("a vote is sent before it is on disk", LOSSY, Member, "take_effects", send_before_persist),
+    Mutant("a majority is one too few", WITHOUT_CRASHES, Roster, "majority", property(half_as_majority)),
     Mutant(
-        "a look answers whatever is newest",
-        CALM,
+        "the lowest vote is proposed, not the highest", WITHOUT_CRASHES, slots, "highest_vote", lowest_vote
+    ),
+    Mutant("one member's replies count twice", LOSSY, rounds, "handle_reply", count_repeated_replies),
+    Mutant("a member accepts below its promise", WITHOUT_CRASHES, slots, "accept", accept_any_ballot),
+    Mutant(
+        "the look phase answers with the highest vote",
+        WITHOUT_CRASHES,
         slots,
         "chosen_value",
         lambda votes, epoch: slots.highest_vote(votes)[1],
     ),
     Mutant(
         "a read does not write back",
-        CALM,
+        WITHOUT_CRASHES,
         rounds,
         "FINISH_PHASE",
-        {**rounds.FINISH_PHASE, rounds.Phase.PREPARE: read_unchosen},
+        {**rounds.FINISH_PHASE, rounds.Phase.PREPARE: answer_read_without_accept},
+    ),
+    Mutant(
+        "changes are not remembered by their ids", REPEATED_CHANGE, slots, "apply_change", apply_without_ids
     ),
-    Mutant("changes are not remembered by their ids", ASKED_TWICE, slots, "apply_change", no_memory),
-    Mutant("a member votes on in the epoch it sealed", RECONFIGURATION, Member, "seal", never_seal),
+    Mutant("a member votes in an epoch that it sealed", RECONFIGURATION, Member, "seal", never_seal),
     Mutant(
-        "a move takes over one member's votes", RECONFIGURATION, reconfiguration, "merge_states", merge_one
+        "a reconfiguration takes over one member's state",
+        RECONFIGURATION,
+        reconfiguration,
+        "merge_states",
+        merge_first_state,
     ),
     Mutant(
-        "an older copy is not told from the directory",
+        "an older copy of a directory is not detected",
         STALE_COPIES,
         staleness,
         "check_freshness",
-        lambda seen, mark: (staleness.Freshness.NEWER, mark),
+        lambda seen, received: (staleness.Freshness.NEWER, received),
     ),
     Mutant(
         "a member votes before the others know its life",
@@ -183,20 +200,24 @@
 
 
 @contextmanager
-def in_place(fault: Mutant) -> Iterator[None]:
-    with mock.patch.object(fault.where, fault.what, fault.put):
+def applied(mutant: Mutant) -> Iterator[None]:
+    """Removes the safeguard inside a `with` block."""
+    with mock.patch.object(mutant.target, mutant.attribute, mutant.replacement):
         yield
 
 
-def find_violation(fault: Mutant, seeds: range, steps: int = 160) -> Found:
-    """Random schedules until one shows the fault; `states` and `seconds` are of all of them together."""
-    found = Found()
-    with in_place(fault):
+def find_violation(mutant: Mutant, seeds: range, steps: int = 160) -> SearchResult:
+    """Runs random schedules until one violates an invariant.
+
+    `states` and `seconds` of the result are sums over all schedules that were run.
+    """
+    total = SearchResult()
+    with applied(mutant):
         for seed in seeds:
-            one = explore_random(fault.case, seed, steps)
-            found.states += one.states
-            found.seconds += one.seconds
-            if one.violation:
-                found.violation, found.schedule = one.violation, one.schedule
+            result = explore_random(mutant.case, seed, steps)
+            total.states += result.states
+            total.seconds += result.seconds
+            if result.violation:
+                total.violation, total.schedule = result.violation, result.schedule
                 break
-    return found
+    return total
