--- a/linedeal/lab/duty_simulation.py
+++ b/linedeal/lab/duty_simulation.py
@@ -1,15 +1,18 @@
-"""Controllers that take one duty from each other in simulated time: clocks that run apart, freezes, cuts, lost words.
+"""Simulates controllers that take over a duty from each other under faults.
 
-The council is one register here that does one change at a time, as the explorer shows it to be. Every owner sends an
-effect a few times a second to a host that keeps a fence. Judged from what the host carried out and from who would act.
+Clocks drift, processes freeze, messages are lost and controllers are partitioned from the council.
+
+Time is simulated. The council is a single register that makes one change at a time; the model checker shows
+that the real council behaves like that. Every owner sends effects, a few per second, to a host that checks
+fencing tokens. The checks are based on what the host executed and on which controllers would act.
 """
 
 import heapq
 import random
 from dataclasses import dataclass, field
 
-from linedeal.council.records import Response, Request, Outcome, Value
 from linedeal.council import slots
+from linedeal.council.records import Outcome, Request, Response, Value
 from linedeal.duties.duty import DutyError
 from linedeal.duties.fence import Fence
 from linedeal.duties.holder import Gained, Holder, LeaseTiming, Lost
@@ -17,59 +20,64 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultModel:
-    """What goes wrong; seconds of true time, rates and shares from 0 to 1."""
-
-    max_drift: float = 0.05  # clocks run up to this much faster or slower
-    max_delay: float = 0.3  # of a word, at most
-    loss_rate: float = 0.1
-    freeze_rate: float = 0.03  # a second and controller
-    max_freeze: float = 12.0  # longest
-    partition_rate: float = 0.03  # from the council, not from the host
+    """Which faults occur. Durations are in seconds of true time; rates are per second and controller."""
+
+    max_drift: float = 0.05  # clocks run up to this share faster or slower
+    max_delay: float = 0.3  # of a message
+    loss_rate: float = 0.1  # share of messages that are lost
+    freeze_rate: float = 0.03
+    max_freeze: float = 12.0
+    partition_rate: float = 0.03  # from the council; the host remains reachable
     max_partition: float = 12.0
-    send_freeze_share: float = 0.3  # effects whose sender is frozen between its check and its send
-    handover_rate: float = 0.02  # an owner hands over, a second
+    # A tenth of this is the share of effects whose sender freezes between its check and its send.
+    send_freeze_share: float = 0.3
+    handover_rate: float = 0.02  # handovers of the duty by its owner
 
 
 @dataclass(slots=True)
 class SimulationResult:
-    """What happened."""
-
-    executed: list[tuple[float, str, int, int]] = field(
-        default_factory=list
-    )  # time, who, token, step of the work
-    rejected: int = 0
-    owner_changes: int = 0  # changes of owner
-    gaps: list[float] = field(
-        default_factory=list
-    )  # seconds from an owner's last effect to the next one's first
+    """What happened in a simulation."""
+
+    # effects that the host executed: time, controller, token, step of the work
+    executed: list[tuple[float, str, int, int]] = field(default_factory=list)
+    rejected: int = 0  # effects that the fence rejected
+    owner_changes: int = 0
+    # seconds from the last effect of an owner to the first one of the next
+    takeover_gaps: list[float] = field(default_factory=list)
     violations: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Clock:
+    """A controller's clock, and until when (in true time) the controller is frozen or partitioned."""
+
     rate: float
     offset: float
     frozen_until: float = 0.0
-    cut_until: float = 0.0
+    partitioned_until: float = 0.0
 
     def read(self, now: float) -> float:
+        """Returns what the clock shows at a true time."""
         return now * self.rate + self.offset
 
 
 class DutySimulation:
+    """A deterministic simulation of several controllers, the council and one host."""
+
     def __init__(
         self,
         seed: int,
         controllers: int = 4,
-        fault_model: FaultModel = FaultModel(),
-        timing: LeaseTiming = LeaseTiming(),
+        fault_model: FaultModel = FaultModel(),  # noqa: B008 - frozen, so one instance can be shared
+        timing: LeaseTiming = LeaseTiming(),  # noqa: B008 - frozen, so one instance can be shared
     ):
+        """Schedules the first events of all controllers at time 0."""
         self.random = random.Random(seed)
-        self.fault_model, self.now, self.events, self.number = fault_model, 0.0, [], 0
-        self.value, self.fence, self.course = Value(), Fence(), SimulationResult()
+        self.fault_model, self.now, self.events, self.last_number = fault_model, 0.0, [], 0
+        self.value, self.fence, self.result = Value(), Fence(), SimulationResult()
         self.holders: dict[str, Holder] = {}
         self.clocks: dict[str, Clock] = {}
-        self.steps: dict[str, int] = {}  # the next step of the work, as each owner knows it
+        self.next_steps: dict[str, int] = {}  # the next step of the work, as each owner knows it
         for number in range(controllers):
             name = f"n{number}"
             rate = 1 + self.random.uniform(-fault_model.max_drift, fault_model.max_drift)
@@ -77,22 +85,25 @@
             self.holders[name] = Holder(
                 "work", name, True, self.random.random, self.clocks[name].read(0.0), timing
             )
-            self.after(0.0, self.turn, name)
-            self.after(0.2, self.act, name)
-            self.after(1.0, self.trouble, name)
+            self.schedule(0.0, self.tick, name)
+            self.schedule(0.2, self.act, name)
+            self.schedule(1.0, self.inject_faults, name)
 
     def play(self, seconds: float) -> SimulationResult:
+        """Runs the simulation up to a time, and checks after each event."""
         while self.events and self.events[0][0] <= seconds:
             self.now, _, what, arguments = heapq.heappop(self.events)
             what(*arguments)
-            self.watch()
-        return self.course
+            self.check_single_owner()
+        return self.result
 
-    def after(self, seconds: float, what, *arguments) -> None:
-        self.number += 1
-        heapq.heappush(self.events, (self.now + seconds, self.number, what, arguments))
+    def schedule(self, seconds: float, what, *arguments) -> None:
+        """Calls `what` after so many seconds; calls for the same time are made in the order of scheduling."""
+        self.last_number += 1
+        heapq.heappush(self.events, (self.now + seconds, self.last_number, what, arguments))
 
-    def watch(self) -> None:
+    def check_single_owner(self) -> None:
+        """Checks that at most one running controller may act now."""
         acting = [
             name
             for name, holder in self.holders.items()
@@ -100,103 +111,122 @@
             and holder.fencing_token(self.clocks[name].read(self.now)) is not None
         ]
         if len(acting) > 1:
-            self.course.violations.append(f"{' and '.join(acting)} act at once at {self.now:.3f}")
+            self.result.violations.append(
+                f"{' and '.join(acting)} may act at the same time, at {self.now:.3f}"
+            )
 
     # --- controllers
 
-    def thaw(self, name: str, again, *arguments) -> bool:
-        """Whether it runs; else this happens when it runs on."""
+    def is_running(self, name: str, again, *arguments) -> bool:
+        """Returns whether a controller is not frozen.
+
+        If it is frozen, `again` is scheduled for the end of the freeze.
+        """
         clock = self.clocks[name]
         if self.now < clock.frozen_until:
-            self.after(clock.frozen_until - self.now, again, name, *arguments)
+            self.schedule(clock.frozen_until - self.now, again, name, *arguments)
             return False
         return True
 
-    def turn(self, name: str) -> None:
-        if self.thaw(name, self.turn):
+    def tick(self, name: str) -> None:
+        """Runs the timers of a controller's holder."""
+        if self.is_running(name, self.tick):
             holder, clock = self.holders[name], self.clocks[name]
             self.carry_out(name, holder.tick(clock.read(self.now)))
             due = (holder.next_tick(clock.read(self.now)) - clock.read(self.now)) / clock.rate
-            self.after(min(max(due, 0.01), 0.5), self.turn, name)
+            self.schedule(min(max(due, 0.01), 0.5), self.tick, name)
 
-    def carry_out(self, name: str, out: list) -> None:
-        for one in out:
-            if type(one) is Request and self.passes(name):
-                self.after(self.delay(), self.change, name, one)
+    def carry_out(self, name: str, output: list) -> None:
+        """Sends a holder's requests to the council, one in ten of them twice, and handles its events."""
+        for one in output:
+            if type(one) is Request and self.is_delivered(name):
+                self.schedule(self.delay(), self.change, name, one)
                 if self.random.random() < 0.1:
-                    self.after(self.delay(), self.change, name, one)  # doubled
+                    self.schedule(self.delay(), self.change, name, one)  # duplicated
             elif type(one) is Gained:
-                self.steps[name] = int(one.progress or b"0")
-                self.course.owner_changes += 1
+                self.next_steps[name] = int(one.progress or b"0")
+                self.result.owner_changes += 1
             elif type(one) is Lost:
-                self.steps.pop(name, None)
+                self.next_steps.pop(name, None)
 
-    def passes(self, name: str) -> bool:
-        return self.now >= self.clocks[name].cut_until and self.random.random() >= self.fault_model.loss_rate
+    def is_delivered(self, name: str) -> bool:
+        """Returns whether a message between a controller and the council arrives."""
+        return (
+            self.now >= self.clocks[name].partitioned_until
+            and self.random.random() >= self.fault_model.loss_rate
+        )
 
     def delay(self) -> float:
+        """Returns the delay of a message."""
         return self.random.uniform(0.001, self.fault_model.max_delay)
 
-    def change(self, name: str, ask: Request) -> None:
-        """At the council."""
+    def change(self, name: str, request: Request) -> None:
+        """Handles a request at the council."""
         outcome = Outcome.READ
-        if ask.change is not None:
-            outcome, self.value = slots.apply_change(self.value, ask.change)
-        if self.passes(name):
-            self.after(self.delay(), self.answer, name, Response(ask, outcome, self.value))
-
-    def answer(self, name: str, answer: Response) -> None:
-        if self.thaw(name, self.answer, answer):
-            self.carry_out(name, self.holders[name].handle_response(answer, self.clocks[name].read(self.now)))
+        if request.change is not None:
+            outcome, self.value = slots.apply_change(self.value, request.change)
+        if self.is_delivered(name):
+            self.schedule(self.delay(), self.receive_response, name, Response(request, outcome, self.value))
+
+    def receive_response(self, name: str, response: Response) -> None:
+        """Handles the council's response at a controller."""
+        if self.is_running(name, self.receive_response, response):
+            self.carry_out(
+                name, self.holders[name].handle_response(response, self.clocks[name].read(self.now))
+            )
 
     def act(self, name: str) -> None:
-        """Check, then send: between them the process may be frozen."""
-        if not self.thaw(name, self.act):
+        """Sends an effect if the controller may act. It may freeze between that check and the send."""
+        if not self.is_running(name, self.act):
             return
         holder, clock = self.holders[name], self.clocks[name]
         token = holder.fencing_token(clock.read(self.now))
-        if token is not None and name in self.steps:
-            step = self.steps[name]
+        if token is not None and name in self.next_steps:
+            step = self.next_steps[name]
             if self.random.random() < self.fault_model.send_freeze_share * 0.1:
                 clock.frozen_until = max(
                     clock.frozen_until, self.now + self.random.uniform(0, self.fault_model.max_freeze)
                 )
             self.send(name, token, step)
-            self.steps[name] += 1
-            self.carry_out(name, holder.record(b"%d" % self.steps[name], clock.read(self.now)))
-        self.after(0.3, self.act, name)
+            self.next_steps[name] += 1
+            self.carry_out(name, holder.record(b"%d" % self.next_steps[name], clock.read(self.now)))
+        self.schedule(0.3, self.act, name)
 
     def send(self, name: str, token: int, step: int) -> None:
-        if self.thaw(name, self.send, token, step):
-            self.after(self.delay(), self.carry, name, token, step)
+        """Sends an effect to the host; effects are delayed but not lost."""
+        if self.is_running(name, self.send, token, step):
+            self.schedule(self.delay(), self.execute, name, token, step)
 
-    def carry(self, name: str, token: int, step: int) -> None:
-        """At the host."""
+    def execute(self, name: str, token: int, step: int) -> None:
+        """Handles an effect at the host, and checks its token and step against those executed before."""
         try:
             self.fence = self.fence.admit("work", token)
         except DutyError:
-            self.course.rejected += 1
+            self.result.rejected += 1
             return
-        carried = self.course.executed
-        if carried and carried[-1][2] > token:
-            self.course.violations.append(f"token {token} of {name} is carried out after {carried[-1][2]}")
-        if carried and carried[-1][2] == token and carried[-1][1] != name:
-            self.course.violations.append(f"token {token} is {name}'s and {carried[-1][1]}'s")
-        if carried and carried[-1][2] < token:
-            self.course.gaps.append(self.now - carried[-1][0])
-            if step < carried[-1][3] - 20:
-                self.course.violations.append(f"{name} begins at step {step}, {carried[-1][3]} was done")
-        carried.append((self.now, name, token, step))
-
-    def trouble(self, name: str) -> None:
+        executed = self.result.executed
+        if executed and executed[-1][2] > token:
+            self.result.violations.append(f"token {token} of {name} is executed after {executed[-1][2]}")
+        if executed and executed[-1][2] == token and executed[-1][1] != name:
+            self.result.violations.append(f"token {token} belongs to both {name} and {executed[-1][1]}")
+        if executed and executed[-1][2] < token:
+            self.result.takeover_gaps.append(self.now - executed[-1][0])
+            if step < executed[-1][3] - 20:
+                self.result.violations.append(
+                    f"{name} continues at step {step}, but {executed[-1][3]} was executed"
+                )
+        executed.append((self.now, name, token, step))
+
+    def inject_faults(self, name: str) -> None:
+        """Freezes, partitions or hands over at random, once per second and controller."""
         clock, chance = self.clocks[name], self.random.random
         if chance() < self.fault_model.freeze_rate:
             clock.frozen_until = max(
                 clock.frozen_until, self.now + self.random.uniform(1, self.fault_model.max_freeze)
             )
         if chance() < self.fault_model.partition_rate:
-            clock.cut_until = max(
-                clock.cut_until, self.now + self.random.uniform(1, self.fault_model.max_partition)
+            clock.partitioned_until = max(
+                clock.partitioned_until, self.now + self.random.uniform(1, self.fault_model.max_partition)
             )
         holder = self.holders[name]
         if (
@@ -204,6 +234,6 @@
             and holder.fencing_token(clock.read(self.now)) is not None
             and self.now >= clock.frozen_until
         ):
-            heir = self.random.choice([""] + [other for other in self.holders if other != name])
-            self.carry_out(name, holder.resign(clock.read(self.now), heir))
-        self.after(1.0, self.trouble, name)
+            successor = self.random.choice([""] + [other for other in self.holders if other != name])
+            self.carry_out(name, holder.resign(clock.read(self.now), successor))
+        self.schedule(1.0, self.inject_faults, name)
