--- a/benchmarks/bad_days.py
+++ b/benchmarks/bad_days.py
@@ -1,7 +1,8 @@
-"""Value earned of value asked on bad days, by kind of trouble: linedeal's module beside two baselines.
+"""Value earned of value requested under failures, by kind of trouble: linedeal's policy and two baselines.
 
-Days in memory on a mock clock: 40 s of load, 3 controllers, 12 stand-in hosts, seeds 1 to 3. The baselines keep the
-gate, so that the rules hold, and choose otherwise: one by chance, one by most room alone.
+The days are played in memory on a mock clock: 40 s of load, 3 controllers, 12 stand-in hosts, seeds 1 to 3.
+The baselines use the same checks before a launch, so that the rules hold, but choose hosts differently: one
+at random, one by most free capacity alone.
 """
 
 import argparse
@@ -18,7 +19,7 @@
 from linedeal.policy import Controller
 
 CLUSTER = Path("examples/cluster.hcl").read_text().replace("controllers    = 4", "controllers    = 3")
-SET = """
+BASE_DAY = """
 cluster cluster.hcl
 length 40
 controllers 3 zones a b c
@@ -29,7 +30,7 @@
 load photo-book 3 cores=1-3 memory=2-8 services=6 customers=shop,publisher
 load press-feed 1.5 cores=2-5 memory=4-12 services=4 customers=publisher
 """
-DAYS = {
+TROUBLES = {
     "quiet": [],
     "hosts killed": ["at 4 kill h01,h05,h10 for 6"],
     "rack restarts": ["at 5 kill cell:0 for 1", "at 5 kill cell:1 for 1"],
@@ -56,59 +57,62 @@
 POLICIES = {"linedeal": Controller, "random": ByChance, "most room": MostRoom}
 
 
-def one(job):
-    trouble, policy, seed, sessions = job
+def play_day(run):
+    """Plays one day; returns `run`, the share of the value that was earned and the number of breaches."""
+    trouble, policy, seed, sessions = run
     with tempfile.TemporaryDirectory() as directory:
         path = Path(directory)
         (path / "cluster.hcl").write_text(CLUSTER)
         lines = [
-            line + " sessions" if sessions and line.startswith("load") else line for line in SET.splitlines()
+            line + " sessions" if sessions and line.startswith("load") else line
+            for line in BASE_DAY.splitlines()
         ]
-        day = parse_day("\n".join([*lines, f"seed {seed}", *DAYS[trouble]]), "bad.day", path)
+        day = parse_day("\n".join([*lines, f"seed {seed}", *TROUBLES[trouble]]), "bad.day", path)
         tally, entries = play_in_memory(day, policy=POLICIES[policy])
     traffic = audit.reconstruct_traffic(entries)
-    return job, report.earned_share(traffic, day, tally.asked), len(audit.find_breaches(traffic, day.cluster))
+    return run, report.earned_share(traffic, day, tally.asked), len(audit.find_breaches(traffic, day.cluster))
 
 
 def main():
+    """Plays all days with each policy and prints the mean of each trouble."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("processes", nargs="?", type=int, default=6)
     parser.add_argument(
-        "--sessions", action="store_true", help="owners in sessions beside owners without, not policies"
+        "--sessions", action="store_true", help="compare owners with and without sessions instead of policies"
     )
-    args = parser.parse_args()
+    arguments = parser.parse_args()
     columns = (
         [("without", "linedeal", False), ("in sessions", "linedeal", True)]
-        if args.sessions
+        if arguments.sessions
         else [(policy, policy, False) for policy in POLICIES]
     )
-    jobs = [
+    runs = [
         (trouble, policy, seed, sessions)
-        for trouble in DAYS
+        for trouble in TROUBLES
         for _, policy, sessions in columns
         for seed in (1, 2, 3)
     ]
-    with ProcessPoolExecutor(max_workers=args.processes) as pool:
-        results = list(pool.map(one, jobs))
+    with ProcessPoolExecutor(max_workers=arguments.processes) as pool:
+        results = list(pool.map(play_day, runs))
     print(
         f"{'trouble':<20}"
         + "".join(f"{name:>12}" for name, *_ in columns)
-        + f"{'first to 2nd':>14}{'breaches':>10}"
+        + f"{'1st / 2nd':>14}{'breaches':>10}"
     )
-    for trouble in DAYS:
-        means, broken = [], 0
+    for trouble in TROUBLES:
+        means, breaches = [], 0
         for _, policy, sessions in columns:
-            found = [
+            matching = [
                 result
                 for result in results
                 if result[0][0] == trouble and result[0][1] == policy and result[0][3] == sessions
             ]
-            means.append(statistics.mean(value for _, value, _ in found))
-            broken += sum(count for _, _, count in found) if policy == "linedeal" else 0
+            means.append(statistics.mean(value for _, value, _ in matching))
+            breaches += sum(count for _, _, count in matching) if policy == "linedeal" else 0
         print(
             f"{trouble:<20}"
             + "".join(f"{mean:>12.3f}" for mean in means)
-            + f"{means[0] / means[1]:>14.2f}{broken:>10}"
+            + f"{means[0] / means[1]:>14.2f}{breaches:>10}"
         )
 
 
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -2,10 +2,10 @@
 
     python benchmarks/kills.py [--jobs 100000] [--kills 1000] [--processes 8]
 
-In memory on mock clocks, one run a process with a seed of its own: two controllers with journals on disk, 12 stand-in
-hosts, an owner that asks for jobs of all three effects at a steady rate while either controller is killed at random
-moments and started again after 0 to 0.4 s. Every answer that passes to the owner is counted, and each launch that a
-host began to run.
+Each process plays one run in memory on a mock clock, with a seed of its own: two controllers with journals on
+disk, 12 stand-in hosts, and owners that submit jobs of all three effects at a steady rate, while one
+controller at a time is killed at a random moment and restarted after 0 to 0.4 s. Every answer sent to an
+owner and every launch that a host started is counted.
 """
 
 import argparse
@@ -19,7 +19,7 @@
 import anyio
 
 from linedeal import audit
-from linedeal.client import JobRequest, JobDeclinedError
+from linedeal.client import JobDeclinedError, JobRequest
 from linedeal.client.contact import Contact
 from linedeal.client.owner import Owner
 from linedeal.lab.day import parse_day
@@ -52,87 +52,96 @@
     "cluster cluster.hcl\nseed {seed}\nlength 1\ncontrollers 2\nhabit setup=0.05 life=0.4 look=0.002\n"
     "hosts 12 kind std\nload web 1\n"
 )
-RATE = 40.0  # jobs a second, for each controller
+JOBS_PER_SECOND = 40.0  # for each controller
 
 
 def play(seed: int, jobs: int, kills: int) -> Counter:
-    with tempfile.TemporaryDirectory() as place:
-        (Path(place) / "cluster.hcl").write_text(CLUSTER)
-        day = parse_day(DAY.format(seed=seed), f"{place}/kills.day", Path(place))
-        return run_in_memory(day, lambda ground: under_load(ground, Random(seed), jobs, kills))
+    """Plays one run; returns the number of jobs by result."""
+    with tempfile.TemporaryDirectory() as directory:
+        (Path(directory) / "cluster.hcl").write_text(CLUSTER)
+        day = parse_day(DAY.format(seed=seed), f"{directory}/kills.day", Path(directory))
+        return run_in_memory(day, lambda cluster: under_load(cluster, Random(seed), jobs, kills))
 
 
-async def under_load(ground, random: Random, jobs: int, kills: int) -> Counter:
-    found = Counter()
-    span = jobs / (2 * RATE)
+async def under_load(cluster, random: Random, jobs: int, kills: int) -> Counter:
+    """Submits jobs while controllers are killed and audits the traffic; returns the counts by result."""
+    counts = Counter()
+    seconds = jobs / (2 * JOBS_PER_SECOND)
 
-    async def own(owner, ask):
+    async def run_job(owner, request):
         try:
-            key = await owner.submit(ask, timeout=60.0)
+            key = await owner.submit(request, timeout=60.0)
         except JobDeclinedError:
-            found["turned away"] += 1
+            counts["turned away"] += 1
             return
         except TimeoutError:
-            found["not taken in 60 s"] += 1
+            counts["not taken in 60 s"] += 1
             return
-        with anyio.move_on_after(60.0) as late:
-            await owner.wait_until([key], lambda standing: standing.over)
-        if late.cancelled_caught:
-            found["never"] += 1
+        with anyio.move_on_after(60.0) as time_limit:
+            await owner.wait_until([key], lambda status: status.over)
+        if time_limit.cancelled_caught:
+            counts["never"] += 1
             return
-        standing = owner.status(key)
-        found[f"{ask.offering} {standing.stage}"] += 1
-        found["taken"] += 1
+        status = owner.status(key)
+        counts[f"{request.offering} {status.stage}"] += 1
+        counts["taken"] += 1
         await owner.forget(key)
 
-    async def load(name):
-        async with Owner.open(ground.net, Contact(((name, 1),), f"owner-{name}"), timeout=30.0) as owner:
+    async def submit_jobs(name):
+        async with Owner.open(cluster.net, Contact(((name, 1),), f"owner-{name}"), timeout=30.0) as owner:
             async with anyio.create_task_group() as tasks:
                 for number in range(jobs // 2):
-                    ask = JobRequest(("web", "mail", "feed")[number % 3], "", f"s{number % 9}", 1.0, 1.0)
-                    tasks.start_soon(own, owner, ask)
-                    await anyio.sleep(1 / RATE)
+                    request = JobRequest(("web", "mail", "feed")[number % 3], "", f"s{number % 9}", 1.0, 1.0)
+                    tasks.start_soon(run_job, owner, request)
+                    await anyio.sleep(1 / JOBS_PER_SECOND)
 
-    async def killer():
+    async def kill_controllers():
         for _ in range(kills):
-            await anyio.sleep(random.uniform(0.5, 1.5) * span / kills)
+            await anyio.sleep(random.uniform(0.5, 1.5) * seconds / kills)
             name = random.choice(("c1", "c2"))
-            await ground.kill(name)
+            await cluster.kill(name)
             await anyio.sleep(random.uniform(0.0, 0.4))
-            await ground.start(name)
-            found["kills"] += 1
+            await cluster.start(name)
+            counts["kills"] += 1
 
     async with anyio.create_task_group() as tasks:
         for name in ("c1", "c2"):
-            tasks.start_soon(load, name)
-        tasks.start_soon(killer)
-    traffic = audit.reconstruct_traffic(ground.recorder.entries)
-    for breach in audit.find_breaches(traffic, ground.day.cluster):
-        found[f"rule {breach.rule} broken"] += 1
+            tasks.start_soon(submit_jobs, name)
+        tasks.start_soon(kill_controllers)
+    traffic = audit.reconstruct_traffic(cluster.recorder.entries)
+    for breach in audit.find_breaches(traffic, cluster.day.cluster):
+        counts[f"rule {breach.rule} broken"] += 1
     for job in traffic.jobs.values():
-        found["answered twice"] += len({verdict for _, verdict in job.answers + job.status_verdicts}) > 1
+        counts["answered twice"] += len({verdict for _, verdict in job.answers + job.status_verdicts}) > 1
         if job.offering == "feed":
-            found["irreversible run twice"] += sum(launch.started < 1e9 for launch in job.launches) > 1
-    return found
+            counts["irreversible run twice"] += sum(launch.started < 1e9 for launch in job.launches) > 1
+    return counts
 
 
 def main() -> None:
+    """Splits the jobs and kills into runs, plays them in parallel and prints the sums."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--jobs", type=int, default=100_000)
     parser.add_argument("--kills", type=int, default=1000)
     parser.add_argument("--processes", type=int, default=8)
-    parser.add_argument("--batch", type=int, default=2500, help="jobs of one run")
+    parser.add_argument("--batch", type=int, default=2500, help="number of jobs in a run")
     parser.add_argument("--seed", type=int, default=1)
-    args = parser.parse_args()
-    runs = -(-args.jobs // args.batch)
-    began, total = time.time(), Counter()
-    with ProcessPoolExecutor(args.processes) as pool:
-        for found in pool.map(
-            play, range(args.seed, args.seed + runs), [args.batch] * runs, [-(-args.kills // runs)] * runs
+    arguments = parser.parse_args()
+    runs = -(-arguments.jobs // arguments.batch)
+    started_at, total = time.time(), Counter()
+    with ProcessPoolExecutor(arguments.processes) as pool:
+        for counts in pool.map(
+            play,
+            range(arguments.seed, arguments.seed + runs),
+            [arguments.batch] * runs,
+            [-(-arguments.kills // runs)] * runs,
         ):
-            total += found
+            total += counts
     total.setdefault("never", 0)
-    print(f"{runs} runs of {args.batch} jobs, {time.time() - began:.0f} s on {args.processes} processes")
+    print(
+        f"{runs} runs of {arguments.batch} jobs, {time.time() - started_at:.0f} s "
+        f"on {arguments.processes} processes"
+    )
     for name, count in sorted(total.items()):
         print(f"  {name:28} {count}")
     for name in ("never", "answered twice", "irreversible run twice"):
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,11 +1,12 @@
-"""How long a controller takes, after its start, to settle what its journal says it owes; what a job costs on disk.
+"""Time that a controller needs after a start to recover the jobs in its journal, and disk space for each job.
 
     python benchmarks/recovery.py [--jobs 1000,10000] [--hosts 20]
 
-In one process over pipes in memory, in real time: of the jobs, seven tenths run on their hosts (the host's account
-settles them), two tenths were never launched (back to the module), one tenth were launched and never arrived (same
-boot, not named: back to the module). "Decided" is when recovery has said what becomes of each, "answered" when the
-module has placed those that went back to it too.
+Runs in one process over in-memory pipes, in real time. Seven tenths of the jobs run on their hosts, and the
+host's report resolves them. Two tenths were never launched, and go back to the policy module. One tenth were
+launched but never reached the host, which has the same boot and does not report them; they also go back to
+the module. "Decided" is when recovery has resolved every job, "answered" is when the module has also
+placed the jobs that went back to it.
 """
 
 import argparse
@@ -49,8 +50,11 @@
 """
 
 
-def fill(directory: Path, jobs: int, hosts: int) -> tuple[dict[str, list], int]:
-    """A journal as a life 1 with so many jobs would leave it; what each host holds, and the bytes it takes."""
+def write_journal(directory: Path, jobs: int, hosts: int) -> tuple[dict[str, list], int]:
+    """Writes the journal that incarnation 1 leaves behind with so many jobs.
+
+    Returns the launches that each host holds, as (number, job), and the size of the journal in bytes.
+    """
     store = Store(directory)
     store.next_life()
     journal = Journal(store, reserve_bytes=1 << 16)
@@ -58,11 +62,11 @@
         None, journal_clock.current_boot_id(), journal_clock.monotonic(), time.time(), 0.0
     )
     store.save_clock(clock.base)
-    at, held = clock.at(journal_clock.monotonic()), {f"h{n:02}": [] for n in range(hosts)}
-    before = (directory / "controller.db").stat().st_size
-    for begin in range(0, jobs, 100):
+    now, held = clock.at(journal_clock.monotonic()), {f"h{n:02}": [] for n in range(hosts)}
+    empty_size = (directory / "controller.db").stat().st_size
+    for first in range(0, jobs, 100):
         emitted = []
-        for n in range(begin, min(begin + 100, jobs)):
+        for n in range(first, min(first + 100, jobs)):
             offering = ("web", "feed")[n % 2]
             job = Job(f"c.1.{n}", offering, "school", f"s{n % 50}", 1.0, 1.0, 60.0)
             emitted.append(effects.AcceptJob(1, f"k{n}", job.id, "s", job, 60.0, follow=True))
@@ -71,21 +75,22 @@
                 emitted.append(effects.SendLaunch(host, n, job, 3.0, 1, True))
                 if n % 10 < 7:
                     held[host].append((n, job))
-        journal.write(at, 1, emitted)
+        journal.write(now, 1, emitted)
     store.db.execute("PRAGMA wal_checkpoint(TRUNCATE)")
-    size = (directory / "controller.db").stat().st_size - before
+    size = (directory / "controller.db").stat().st_size - empty_size
     store.close()
     return held, size
 
 
 async def measure(directory: Path, jobs: int, hosts: int) -> dict:
-    held, size = fill(directory, jobs, hosts)
+    """Starts a controller on a journal with so many jobs; returns what is printed, with times in seconds."""
+    held, size = write_journal(directory, jobs, hosts)
     cluster = parse_cluster(CLUSTER)
     cluster = replace(cluster, limits=replace(cluster.limits, held=3 * jobs))
     net, result = MemoryNet(), {"jobs": jobs, "hosts": hosts, "journal bytes a job": round(size / jobs)}
     async with anyio.create_task_group() as tasks:
         await tasks.start(Discovery(net).run, ("discovery", 1))
-        for name, copies in held.items():
+        for name, held_launches in held.items():
             model = HostModel(
                 name,
                 "std",
@@ -96,47 +101,48 @@
                 anyio.current_time(),
                 False,
             )
-            for number, job in copies:
-                copy = HeldLaunch(
+            for number, job in held_launches:
+                launch = HeldLaunch(
                     ("c", 1, number),
                     pb.JobSpec(id=job.id, offering=job.offering, service=job.service, cores=1.0, memory=1.0),
                     1.0,
                     pb.RUNNING,
                 )
-                model.launches[copy.id] = copy
+                model.launches[launch.id] = launch
             await tasks.start(HostServer(model, net, ("discovery", 1), f"{name}:1", "z", 0).run, (name, 1))
         await anyio.sleep(0.5)
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         runtime = Runtime(
             Setup("c", cluster, ("c", 1), ("discovery", 1), 7), Store(directory), net, QUIET_LOG
         )
         await tasks.start(runtime.run)
-        result["read and taking jobs"] = time.perf_counter() - began
-        engine, worst = runtime.engine, 0.0
+        result["read and taking jobs"] = time.perf_counter() - started_at
+        engine, longest_wait = runtime.engine, 0.0
         while engine.unresolved or engine.unanswered:
             if not engine.unresolved and "decided" not in result:
-                result["decided"] = time.perf_counter() - began
-            mark = time.perf_counter()
+                result["decided"] = time.perf_counter() - started_at
+            slept_at = time.perf_counter()
             await anyio.sleep(0.001)
-            worst = max(worst, time.perf_counter() - mark)
-        result.setdefault("decided", time.perf_counter() - began)
-        result["answered"] = time.perf_counter() - began
-        result["longest time that links waited"] = worst
+            longest_wait = max(longest_wait, time.perf_counter() - slept_at)
+        result.setdefault("decided", time.perf_counter() - started_at)
+        result["answered"] = time.perf_counter() - started_at
+        result["longest time that links waited"] = longest_wait
         result["placed"] = engine.counts["placed"]
         tasks.cancel_scope.cancel()
     return result
 
 
 def main() -> None:
+    """Measures each number of jobs and prints the times, also as ratios to the first number."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--jobs", default="1000,10000")
     parser.add_argument("--hosts", type=int, default=20)
-    args = parser.parse_args()
-    base = None
-    for jobs in map(int, args.jobs.split(",")):
-        with tempfile.TemporaryDirectory() as place:
-            result = anyio.run(measure, Path(place), jobs, args.hosts)
-        base = base or result
+    arguments = parser.parse_args()
+    baseline = None
+    for jobs in map(int, arguments.jobs.split(",")):
+        with tempfile.TemporaryDirectory() as directory:
+            result = anyio.run(measure, Path(directory), jobs, arguments.hosts)
+        baseline = baseline or result
         print(
             ", ".join(
                 f"{name} {value:.3f} s" if isinstance(value, float) else f"{name} {value}"
@@ -144,8 +150,9 @@
             )
         )
         print(
-            f"  {jobs / base['jobs']:g} times the jobs, decided in {result['decided'] / base['decided']:.2f} times the "
-            f"time, answered in {result['answered'] / base['answered']:.2f} times"
+            f"  {jobs / baseline['jobs']:g} times the jobs, "
+            f"decided in {result['decided'] / baseline['decided']:.2f} times the time, "
+            f"answered in {result['answered'] / baseline['answered']:.2f} times"
         )
 
 
--- a/linedeal/__init__.py
+++ b/linedeal/__init__.py
@@ -1,1 +1,1 @@
-"""linedeal: places long-running jobs on a cluster's hosts."""
+"""linedeal, a cluster scheduler that places long-running jobs on a cluster's hosts."""
--- a/linedeal/cli.py
+++ b/linedeal/cli.py
@@ -1,7 +1,7 @@
-"""The command line. Each command is a few lines that read its arguments and call the package that does the work.
+"""The command line. Each command parses its arguments and calls the package that does the work.
 
-Exit status: 0 done; 1 what was asked about does not hold (a rule broken, a job not placed, a faulty file);
-2 the command was given wrongly; 3 something outside failed (an address in use, a disk); 4 fenced off by a later life.
+Exit status: 0 success; 1 negative result (a rule broken, a job not placed, an invalid file);
+2 wrong usage; 3 failure of the environment (an address in use, a disk); 4 fenced off by a later incarnation.
 """
 
 import json
@@ -12,7 +12,7 @@
 import time
 from importlib.util import find_spec
 from pathlib import Path
-from typing import Annotated, Optional
+from typing import Annotated
 
 import anyio
 import typer
@@ -28,31 +28,33 @@
     epilog=__doc__.split("\n\n")[1],
 )
 
-Listen = Annotated[str, typer.Option(help="HOST:PORT; port 0 takes a free one")]
+Listen = Annotated[str, typer.Option(help="HOST:PORT; port 0 selects a free port")]
 ClusterFile = Annotated[str, typer.Option("--cluster", help="the cluster's HCL file")]
 Control = Annotated[
-    bool, typer.Option("--control", hidden=True, help="orders on standard input, end with it")
+    bool,
+    typer.Option("--control", hidden=True, help="read orders from standard input and exit when it closes"),
 ]
-Json = Annotated[bool, typer.Option("--json", help="for programs")]
+Json = Annotated[bool, typer.Option("--json", help="print JSON, for programs")]
 CouncilKey = Annotated[
-    Optional[str],
+    str | None,
     typer.Option(
-        help="file that holds the key shown to the council's members; or LINEDEAL_COUNCIL_KEY holds it"
+        help="file with the key for the council's members; default: the value of LINEDEAL_COUNCIL_KEY"
     ),
 ]
 Backend = Annotated[str, typer.Option(help="asyncio or trio")]
 
 
-class Fault(Exception):
-    """One plain line and the exit status that goes with it."""
+class CommandError(Exception):
+    """An error that ends a command with a one-line message and an exit status."""
 
     def __init__(self, text: str, status: int):
+        """`text` is printed on standard error; `status` is the exit status of the process."""
         super().__init__(text)
         self.status = status
 
 
 def main() -> None:
-    """Runs the command line; faults end it with one plain line."""
+    """Runs the command line. Expected errors are printed as one line; others propagate with a traceback."""
     try:
         app()
         return
@@ -62,16 +64,17 @@
         error = caught
     status = status_of(error)
     if status is None:
-        raise error  # a fault of the program: all of it is shown
+        raise error  # a bug: show the traceback
     print(f"linedeal: {error}", file=sys.stderr)
     sys.exit(status)
 
 
 def status_of(error: BaseException) -> int | None:
-    """The exit status that an error stands for; None for one that no command is meant to end with."""
-    if isinstance(error, Fault):
+    """The exit status for an expected error; None for any other exception, which is a bug."""
+    if isinstance(error, CommandError):
         return error.status
-    # only now: most commands need none of these packages, and loading all takes longer than the command
+    # Imported here because most commands need none of these packages, and importing them all takes longer
+    # than running the command.
     from linedeal.controller.runtime import HaltedError
     from linedeal.lab.day import DayFileError
     from linedeal.lab.processes import ClusterProcessError
@@ -85,30 +88,41 @@
         ((StoreError, ClusterProcessError, FenceFileError, OSError), 3),
         (HaltedError, 4),
     )
-    return next((status for kinds, status in statuses if isinstance(error, kinds)), None)
+    return next((status for types, status in statuses if isinstance(error, types)), None)
 
 
 def address_of(text: str):
+    """The host and port in HOST:PORT; raises CommandError if the text is malformed."""
     from linedeal.net import parse_address
 
     try:
         return parse_address(text)
     except ValueError as error:
-        raise Fault(str(error), 2) from None
+        raise CommandError(str(error), 2) from None
 
 
-def key_in(file: Optional[str]) -> str:
-    """The council's key: never an argument, which every user of the machine could read."""
+def key_in(file: str | None) -> str:
+    """The council's key, from a file or else from LINEDEAL_COUNCIL_KEY.
+
+    Raises CommandError if the file cannot be read. There is no option for the key itself, because every
+    user of the machine can read a process's arguments.
+    """
     if file is None:
         return os.environ.get("LINEDEAL_COUNCIL_KEY", "")
     try:
         return Path(file).read_text(encoding="utf-8").strip()
     except (OSError, UnicodeDecodeError) as error:
-        raise Fault(f"{file}: cannot be read: {getattr(error, 'strerror', None) or 'not UTF-8'}", 2) from None
+        raise CommandError(
+            f"{file}: cannot be read: {getattr(error, 'strerror', None) or 'not UTF-8'}", 2
+        ) from None
 
 
 def run(work, *args, backend: str = "asyncio", fast: bool = True, clock: float = 1.0):
-    """`clock`: seconds of this process's clock in a true second; other than 1 in days alone."""
+    """Runs a coroutine function in an event loop and returns its result.
+
+    `clock` is the rate of this process's clock, in seconds per real second; only day files set a rate
+    other than 1. Raises CommandError for an unknown backend.
+    """
     if clock != 1.0:
         from linedeal.lab.clocks import SkewedEventLoop
 
@@ -116,32 +130,32 @@
             work, *args, backend="asyncio", backend_options={"loop_factory": lambda: SkewedEventLoop(clock)}
         )
     if backend not in ("asyncio", "trio"):
-        raise Fault(f"no backend {backend!r}, asyncio or trio", 2)
-    # uvloop carries the same asyncio code at less cost a message; where it is missing nothing else changes
+        raise CommandError(f"unknown backend {backend!r}: use asyncio or trio", 2)
+    # uvloop runs the same asyncio code at a lower cost per message; it is optional.
     options = {"use_uvloop": find_spec("uvloop") is not None} if backend == "asyncio" and fast else {}
     return anyio.run(work, *args, backend=backend, backend_options=options)
 
 
 @app.command("check-config", epilog="Example: linedeal check-config examples/cluster.hcl")
 def check_config(file: str, as_json: Json = False):
-    """Names every fault of a cluster file, a line each; says nothing is wrong otherwise."""
+    """Checks a cluster file and prints every error in it, one per line."""
     from linedeal.settings.cluster import ConfigError, read_cluster
 
     try:
         cluster = read_cluster(file)
-        faults = []
+        errors = []
     except ConfigError as error:
-        faults = error.lines
+        errors = error.lines
     if as_json:
-        print(json.dumps({"file": file, "faults": faults}))
-    elif faults:
-        print("\n".join(faults))
+        print(json.dumps({"file": file, "faults": errors}))
+    elif errors:
+        print("\n".join(errors))
     else:
         print(
-            f"{file}: sound: {len(cluster.settings.offerings)} offerings, {len(cluster.settings.kinds)} kinds, "
-            f"{len(cluster.settings.quotas)} customers"
+            f"{file}: valid: {len(cluster.settings.offerings)} offerings, "
+            f"{len(cluster.settings.kinds)} kinds, {len(cluster.settings.quotas)} customers"
         )
-    raise typer.Exit(1 if faults else 0)
+    raise typer.Exit(1 if errors else 0)
 
 
 @app.command(
@@ -149,14 +163,15 @@
     "--discovery 127.0.0.1:7000 --state /var/lib/linedeal/c1 --listen 127.0.0.1:7100"
 )
 def controller(
-    name: Annotated[str, typer.Option(help="of this controller, the same in all its lives")],
+    name: Annotated[str, typer.Option(help="name of this controller, the same after each restart")],
     cluster: ClusterFile,
-    discovery: Annotated[str, typer.Option(help="HOST:PORT of discovery")],
-    state: Annotated[str, typer.Option(help="directory that this controller alone uses")],
+    discovery: Annotated[str, typer.Option(help="HOST:PORT of the discovery service")],
+    state: Annotated[str, typer.Option(help="state directory, used by this controller only")],
     listen: Listen = "127.0.0.1:0",
-    seed: Annotated[Optional[int], typer.Option(help="of its chance")] = None,
+    seed: Annotated[int | None, typer.Option(help="seed of its random numbers")] = None,
     council_listen: Annotated[
-        Optional[str], typer.Option(help="HOST:PORT for the council, where it is not the cluster file's")
+        str | None,
+        typer.Option(help="HOST:PORT to listen on for the council, if not the one in the cluster file"),
     ] = None,
     council_key: CouncilKey = None,
     as_json: Json = False,
@@ -164,15 +179,15 @@
     backend: Backend = "asyncio",
     control: Control = False,
     policy: Annotated[
-        str, typer.Option(hidden=True, help="a base line for the module, in days")
+        str, typer.Option(hidden=True, help="scheduling policy, for comparison in day files")
     ] = "linedeal",
     clock: Annotated[
-        float, typer.Option(hidden=True, help="rate of its clock, for days", min=0.5, max=2.0)
+        float, typer.Option(hidden=True, help="rate of its clock, for day files", min=0.5, max=2.0)
     ] = 1.0,
 ):
-    """A controller: takes jobs from clients, decides, launches them on hosts, answers.
+    """Runs a controller: accepts jobs from clients, launches them on hosts and reports the results.
 
-    SIGTERM ends it after the jobs that it holds are answered.
+    After SIGTERM it exits once every job that it holds has its answer.
     """
     from linedeal import logs
     from linedeal.controller.runtime import Runtime, Setup
@@ -189,20 +204,20 @@
         address_of(council_listen) if council_listen else None,
         key_in(council_key),
     )
-    decides = {}
+    policy_option = {}
     if policy != "linedeal":
         from linedeal.lab.baselines import POLICIES
 
         if policy not in POLICIES:
-            raise Fault(f"no policy {policy!r}: {', '.join(POLICIES)}", 2)
-        decides = {"policy": POLICIES[policy]}
-    runtime = Runtime(setup, Store(state), TcpNet(), logs.setup(as_json, verbose), **decides)
+            raise CommandError(f"unknown policy {policy!r}: {', '.join(POLICIES)}", 2)
+        policy_option = {"policy": POLICIES[policy]}
+    runtime = Runtime(setup, Store(state), TcpNet(), logs.setup(as_json, verbose), **policy_option)
 
     async def work():
         async with anyio.create_task_group() as tasks:
 
             async def serve():
-                await runtime.run(task_status=Told())
+                await runtime.run(task_status=AddressPrinter())
                 tasks.cancel_scope.cancel()
 
             tasks.start_soon(serve)
@@ -215,32 +230,33 @@
 
 
 def clock_order(order: dict) -> None:
-    """`jump`: seconds by which a clock that was given a rate is set forward."""
+    """Carries out an order: `jump` sets a clock that has a configured rate forward by that many seconds."""
     import asyncio
 
     for name, value in order.items():
         if name != "jump":
-            raise ValueError(f"no order {name!r}")
+            raise ValueError(f"unknown order {name!r}")
         jump = getattr(asyncio.get_running_loop(), "jump", None)
         if jump is None:
-            raise ValueError("this clock cannot jump: it was given no rate")
+            raise ValueError("this clock cannot jump: it runs without --clock")
         jump(float(value))
 
 
-class Told:
-    """Stands where anyio wants a task's status: tells the address on standard output."""
+class AddressPrinter:
+    """An anyio task status that prints the address of the started server on standard output."""
 
     def started(self, address=None):
+        """Called by the server once it listens at `address`."""
         processes.print_address(address)
 
 
 async def serve_stand_in(server, listen, control: bool, log) -> None:
-    """A stand-in until it is told to end, or its standard input ends."""
+    """Runs a stand-in until a signal or, with `control`, until standard input ends."""
     async with anyio.create_task_group() as tasks:
 
         async def serve():
-            await server.run(listen, task_status=Told())
-            log.error("fell over")
+            await server.run(listen, task_status=AddressPrinter())
+            log.error("server stopped unexpectedly")
             tasks.cancel_scope.cancel()
 
         tasks.start_soon(serve)
@@ -258,24 +274,27 @@
     name: Annotated[str, typer.Option()],
     kind: Annotated[str, typer.Option()],
     cluster: ClusterFile,
-    discovery: Annotated[str, typer.Option(help="HOST:PORT of discovery")],
+    discovery: Annotated[str, typer.Option(help="HOST:PORT of the discovery service")],
     listen: Listen = "127.0.0.1:0",
     zone: str = "a",
     cell: int = 0,
     seed: int = 1,
-    boot: Annotated[int, typer.Option(help="larger at each start; 0: by the clock")] = 0,
-    habits: Annotated[str, typer.Option(help="JSON, see docs/days.md")] = "{}",
+    boot: Annotated[
+        int, typer.Option(help="boot number, larger at each start; 0: derived from the clock")
+    ] = 0,
+    habits: Annotated[str, typer.Option(help="behavior as JSON, see docs/days.md")] = "{}",
     advertise: Annotated[
-        str, typer.Option(help="address that discovery tells; else the one it listens at")
+        str, typer.Option(help="address that discovery announces; default: the listening address")
     ] = "",
     fence: Annotated[
-        Optional[str], typer.Option(help="file that keeps the highest tokens of duties' owners")
+        str | None, typer.Option(help="file that stores the highest fencing token seen for each duty")
     ] = None,
     young: bool = False,
     control: Control = False,
 ):
-    """A stand-in for a host: accepts, refuses, starts and ends jobs as a host would; nothing is really run."""
+    """Runs a stand-in host that accepts, refuses, starts and ends jobs without executing anything."""
     from random import Random
+
     from linedeal import logs
     from linedeal.net import TcpNet
     from linedeal.settings.cluster import read_cluster
@@ -284,21 +303,21 @@
 
     log, settings = logs.setup(False, False), read_cluster(cluster)
     if kind not in settings.settings.kinds:
-        raise Fault(f"no kind {kind!r} in {cluster}", 2)
+        raise CommandError(f"unknown host kind {kind!r} in {cluster}", 2)
     try:
-        habit = HostBehavior(**json.loads(habits))
+        behavior = HostBehavior(**json.loads(habits))
     except (ValueError, TypeError) as error:
-        raise Fault(f"--habits: {error}", 2) from None
+        raise CommandError(f"--habits: {error}", 2) from None
     boot = boot or time.time_ns() // 1_000_000
 
     async def work():
         model = HostModel(
-            name, kind, settings, habit, boot, Random(f"{seed} {name} {boot}"), anyio.current_time(), young
+            name, kind, settings, behavior, boot, Random(f"{seed} {name} {boot}"), anyio.current_time(), young
         )
-        # under control the address that is told comes as an order: it is a route that does not stand yet
-        told = advertise or ("" if control else "itself")
+        # With --control the advertised address arrives as an order, because its route does not exist yet.
+        announced = advertise or ("" if control else "itself")
         server = HostServer(
-            model, TcpNet(), address_of(discovery), told, zone, cell, Path(fence) if fence else None
+            model, TcpNet(), address_of(discovery), announced, zone, cell, Path(fence) if fence else None
         )
         await serve_stand_in(server, address_of(listen), control, log)
 
@@ -307,7 +326,7 @@
 
 @app.command()
 def discovery(listen: Listen = "127.0.0.1:0", control: Control = False):
-    """A stand-in for discovery: hosts tell it of themselves, controllers watch it."""
+    """Runs a stand-in for the discovery service: hosts report to it and controllers watch it."""
     from linedeal import logs
     from linedeal.net import TcpNet
     from linedeal.standin.discovery import Discovery
@@ -325,8 +344,11 @@
     listen: Listen = "127.0.0.1:0",
     control: Control = False,
 ):
-    """A stand-in for the operators' tool that replaces hosts: tells on standard output which, and is told of starts on
-    standard input."""
+    """Runs a stand-in for the operators' tool that replaces hosts.
+
+    It prints each host to be replaced on standard output, and reads on standard input which hosts have
+    started.
+    """
     from linedeal import logs
     from linedeal.net import TcpNet
     from linedeal.settings.cluster import read_cluster
@@ -349,14 +371,14 @@
 
 @app.command(hidden=True)
 def crowd(
-    hosts: Annotated[str, typer.Option(help="JSON file of the hosts")],
+    hosts: Annotated[str, typer.Option(help="JSON file that describes the hosts")],
     cluster: ClusterFile,
     discovery: Annotated[str, typer.Option()],
     record: Annotated[str, typer.Option()],
     seed: int = 1,
     control: Control = False,
 ):
-    """Many stand-in hosts in one process, sampled ten times a second; for the rig of `linedeal rig`."""
+    """Runs many stand-in hosts in one process and samples them ten times a second; used by `linedeal rig`."""
     from linedeal import logs
     from linedeal.net import TcpNet
     from linedeal.settings.cluster import read_cluster
@@ -377,13 +399,13 @@
 @app.command("load", hidden=True)
 def load_part(
     file: str,
-    addresses: Annotated[str, typer.Option(help="JSON file: controllers and their addresses")],
+    addresses: Annotated[str, typer.Option(help="JSON file with the addresses of the controllers")],
     part: Annotated[int, typer.Option()],
     parts: Annotated[int, typer.Option()],
     record: Annotated[str, typer.Option()],
     control: Control = False,
 ):
-    """A part of a day's owners, in a process of its own; for the rig of `linedeal rig`."""
+    """Runs one part of a day's job owners in a process of its own; used by `linedeal rig`."""
     from linedeal import logs
     from linedeal.lab.loadpart import LoadPart
     from linedeal.net import TcpNet
@@ -394,7 +416,10 @@
 
 @app.command(hidden=True)
 def tap(record: Annotated[str, typer.Option()], control: Control = False):
-    """Stands between the others and records what passes; takes routes and cuts as orders on standard input."""
+    """Runs the proxy that records the traffic between all processes.
+
+    It reads orders from standard input, such as to add a route or to cut a connection.
+    """
     from linedeal import logs
     from linedeal.lab.record import Recorder
     from linedeal.lab.tap import TapProcess
@@ -410,7 +435,7 @@
                 address = await tasks.start(server.route, name, address_of(to))
                 print(json.dumps({"route": [name, f"{address[0]}:{address[1]}"]}), flush=True)
 
-            def order(order):
+            def handle_order(order):
                 if "route" in order:
                     tasks.start_soon(route, *order["route"])
                 else:
@@ -419,43 +444,45 @@
             processes.print_address(("tap", 0))
             tasks.start_soon(processes.stop_on_signal, tasks.cancel_scope.cancel)
             if control:
-                await processes.read_orders(order, log)
+                await processes.read_orders(handle_order, log)
                 tasks.cancel_scope.cancel()
         server.recorder.flush()
 
     run(work)
 
 
-cli_jobs.add(app, run, Fault)
-cli_fleet.add(app, run, key_in, Fault)
+cli_jobs.add(app, run, CommandError)
+cli_fleet.add(app, run, key_in, CommandError)
 
 
 @app.command(epilog="Example: linedeal day examples/bad-day.day")
 def day(
     file: str,
-    directory: Annotated[Optional[str], typer.Option(help="for records and logs, kept")] = None,
+    directory: Annotated[
+        str | None, typer.Option(help="directory for records and logs; kept afterwards")
+    ] = None,
     in_memory: Annotated[
-        bool, typer.Option("--in-memory", help="one process, mock clock, faster than real time")
+        bool, typer.Option("--in-memory", help="use one process and a mock clock, faster than real time")
     ] = False,
     as_json: Json = False,
 ):
-    """Plays a day file and judges what passed on the sockets. Exit status 0 only if all five rules were kept."""
+    """Plays a day file and audits the recorded traffic. Exit status 0 only if all five rules hold."""
     from linedeal import audit
     from linedeal.audit.duties import find_duty_breaches
     from linedeal.lab import play, report
     from linedeal.lab.day import read_day
 
     plan = read_day(file)
-    say = (lambda line: None) if as_json else (lambda line: print(line, flush=True))
+    show_progress = (lambda line: None) if as_json else (lambda line: print(line, flush=True))
     if in_memory:
-        tally, entries = play.play_in_memory(plan, say)
+        tally, entries = play.play_in_memory(plan, show_progress)
     else:
         import tempfile
 
-        place = Path(directory) if directory else Path(tempfile.mkdtemp(prefix="linedeal-day-"))
-        tally, entries = run(play.play_processes, plan, place, say)
+        directory_path = Path(directory) if directory else Path(tempfile.mkdtemp(prefix="linedeal-day-"))
+        tally, entries = run(play.play_processes, plan, directory_path, show_progress)
     traffic = audit.reconstruct_traffic(entries)
-    breaches, of_duties = (
+    breaches, duty_breaches = (
         audit.find_breaches(traffic, plan.cluster),
         find_duty_breaches(traffic, plan.cluster),
     )
@@ -467,29 +494,30 @@
                     "value": value,
                     "ends": tally.ends,
                     "jobs": len(traffic.jobs),
-                    "breaches": shown(breaches, of_duties),
+                    "breaches": shown(breaches, duty_breaches),
                 }
             )
         )
     else:
         print(
             "",
-            *report.report_lines(traffic, breaches, of_duties),
+            *report.report_lines(traffic, breaches, duty_breaches),
             "",
-            f"value earned of value asked: {value:.3f} (simulated hosts)",
+            f"value earned of value requested: {value:.3f} (simulated hosts)",
             sep="\n",
         )
     if not in_memory:
-        if not directory and not breaches and not of_duties:
-            shutil.rmtree(place)
+        if not directory and not breaches and not duty_breaches:
+            shutil.rmtree(directory_path)
         elif not as_json:
-            print(f"record and logs: {place}")
-    raise typer.Exit(1 if breaches or of_duties or not traffic.jobs else 0)
+            print(f"record and logs: {directory_path}")
+    raise typer.Exit(1 if breaches or duty_breaches or not traffic.jobs else 0)
 
 
-def shown(breaches, of_duties) -> list[dict]:
+def shown(breaches, duty_breaches) -> list[dict]:
+    """The breaches of the job rules and of the duty rules in the form that --json prints."""
     return [{"rule": b.rule, "t": b.t, "text": b.text} for b in breaches] + [
-        {"rule": f"duties, {b.claim}", "t": b.t, "text": b.text} for b in of_duties
+        {"rule": f"duties, {b.claim}", "t": b.t, "text": b.text} for b in duty_breaches
     ]
 
 
@@ -500,59 +528,67 @@
     controllers: int = 12,
     hosts: int = 24,
     seconds: float = 30.0,
-    room: Annotated[float, typer.Option(help="share of the hosts' room that the jobs ask for")] = 0.7,
+    room: Annotated[float, typer.Option(help="share of the hosts' capacity that the jobs request")] = 0.7,
     trouble: str = "calm",
     policies: str = "linedeal",
     seed: int = 1,
-    in_memory: Annotated[bool, typer.Option("--in-memory", help="one process, mock clock")] = False,
-    directory: Annotated[Optional[str], typer.Option(help="for records and logs, kept")] = None,
-    plot: Annotated[Optional[str], typer.Option(help="PNG with the load by host over time")] = None,
+    in_memory: Annotated[bool, typer.Option("--in-memory", help="use one process and a mock clock")] = False,
+    directory: Annotated[
+        str | None, typer.Option(help="directory for records and logs; kept afterwards")
+    ] = None,
+    plot: Annotated[
+        str | None, typer.Option(help="PNG file for a plot of the load of each host over time")
+    ] = None,
     as_json: Json = False,
 ):
-    """How evenly so many controllers load so many stand-in hosts: real processes over sockets, or in memory. Each policy
-    plays the same day."""
+    """Measures how evenly the controllers load the stand-in hosts, with real processes or in memory.
+
+    Each policy plays the same day.
+    """
     from linedeal.lab import evenrun
     from linedeal.lab.baselines import IN_MEMORY, POLICIES
     from linedeal.lab.evenday import TROUBLES
 
     names, known = policies.split(","), IN_MEMORY if in_memory else POLICIES
     if unknown := [name for name in names if name not in known]:
-        raise Fault(f"no policy {unknown[0]!r}: {', '.join(known)}", 2)
+        raise CommandError(f"unknown policy {unknown[0]!r}: {', '.join(known)}", 2)
     if trouble not in TROUBLES:
-        raise Fault(f"no trouble {trouble!r}: {', '.join(TROUBLES)}", 2)
+        raise CommandError(f"unknown trouble {trouble!r}: {', '.join(TROUBLES)}", 2)
     if controllers < 1 or hosts < 1 or seconds < 4 or not 0 < room <= 3:
-        raise Fault("1 controller, 1 host, 4 seconds at least, room over 0 and up to 3", 2)
+        raise CommandError(
+            "needs at least 1 controller, 1 host and 4 seconds, and --room above 0 and at most 3", 2
+        )
     import tempfile
 
-    place = Path(directory) if directory else Path(tempfile.mkdtemp(prefix="linedeal-rig-"))
-    say = (lambda line: None) if as_json else (lambda line: print(line, flush=True))
-    found = {}
+    directory_path = Path(directory) if directory else Path(tempfile.mkdtemp(prefix="linedeal-rig-"))
+    show_progress = (lambda line: None) if as_json else (lambda line: print(line, flush=True))
+    results = {}
     for name in names:
         plan = evenrun.Plan(controllers, hosts, seconds, room, trouble, name, seed)
-        found[name] = (
-            evenrun.in_memory(plan, place / name)
+        results[name] = (
+            evenrun.in_memory(plan, directory_path / name)
             if in_memory
-            else run(evenrun.processes, plan, place / name, say)
+            else run(evenrun.processes, plan, directory_path / name, show_progress)
         )
         if not as_json:
-            print(*evenrun.lines(name, found[name], plan), sep="\n", flush=True)
+            print(*evenrun.lines(name, results[name], plan), sep="\n", flush=True)
     if as_json:
-        print(json.dumps({name: evenrun.shown(one) for name, one in found.items()}))
+        print(json.dumps({name: evenrun.shown(result) for name, result in results.items()}))
     if plot:
         from linedeal.lab.heat import draw
 
         draw(
             Path(plot),
-            {name: (one.samples, one.arrivals) for name, one in found.items()},
+            {name: (result.samples, result.arrivals) for name, result in results.items()},
             [(seconds / 2, trouble)] if trouble != "calm" else [],
         )
     if not directory:
-        shutil.rmtree(place)
+        shutil.rmtree(directory_path)
 
 
 @app.command("audit", epilog="Example: linedeal audit traffic.jsonl --cluster examples/cluster.hcl")
 def audit_record(record: str, cluster: ClusterFile, as_json: Json = False):
-    """Judges a record of traffic by the five rules, and by the claims of duties. Exit status 0 only if all were kept."""
+    """Audits a traffic record by the five rules and the rules for duties. Exit status 0 only if all hold."""
     from linedeal import audit
     from linedeal.audit.duties import find_duty_breaches
     from linedeal.lab import report
@@ -561,24 +597,24 @@
 
     settings = read_cluster(cluster)
     traffic = audit.reconstruct_traffic(read_record(record))
-    breaches, of_duties = audit.find_breaches(traffic, settings), find_duty_breaches(traffic, settings)
+    breaches, duty_breaches = audit.find_breaches(traffic, settings), find_duty_breaches(traffic, settings)
     if as_json:
-        print(json.dumps({"jobs": len(traffic.jobs), "breaches": shown(breaches, of_duties)}))
+        print(json.dumps({"jobs": len(traffic.jobs), "breaches": shown(breaches, duty_breaches)}))
     else:
-        print(*report.report_lines(traffic, breaches, of_duties), sep="\n")
-    raise typer.Exit(1 if breaches or of_duties else 0)
+        print(*report.report_lines(traffic, breaches, duty_breaches), sep="\n")
+    raise typer.Exit(1 if breaches or duty_breaches else 0)
 
 
 @app.command(epilog="Example: linedeal up --controllers 2 --hosts 6 --directory /tmp/trial")
 def up(
-    directory: Annotated[str, typer.Option(help="for state, logs and the record of traffic")],
+    directory: Annotated[str, typer.Option(help="directory for state, logs and the traffic record")],
     controllers: int = 2,
     hosts: int = 6,
     cluster: Annotated[
-        Optional[str], typer.Option(help="HCL file; the number of controllers in it is set here")
+        str | None, typer.Option(help="HCL file; --controllers overrides the number of controllers in it")
     ] = None,
 ):
-    """A trial cluster in the foreground until Ctrl-C: N controllers, M stand-in hosts, discovery and the tap."""
+    """Runs a trial cluster until Ctrl-C: controllers, stand-in hosts, discovery and the recording proxy."""
     from linedeal.lab.trial import trial
 
     run(trial, Path(directory), controllers, hosts, cluster, lambda line: print(line, flush=True))
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,47 +1,48 @@
-"""KNOWN-RED.txt: tests that fail for a real fault which is not mended yet. CI passes over these, and only while they fail.
+"""A pytest plugin for KNOWN-RED.txt, the list of tests that fail because of a bug which is not fixed yet.
 
-A line is `TEST, cause, issue`, TEST as pytest names it; three lines at most. With `--known-red FILE` a listed test that
-passes, or that is not there, fails the run. A plugin of pytest's, loaded by pyproject.toml.
+CI tolerates the failures of these tests only. A line is `TEST, cause, issue`, where TEST is a pytest node id;
+at most three lines are allowed. With `--known-red FILE` the run fails if a listed test passes or does not
+exist. The plugin is loaded by pyproject.toml.
 """
 
 from pathlib import Path
 
 import pytest
 
-MOST = 3
+MAX_LISTED = 3
 
 
 def read(path: Path) -> dict[str, str]:
-    """What is wrong, by test. Raises UsageError."""
+    """The reason for failure by node id; empty without a file. Raises UsageError for an invalid list."""
     lines = [line.strip() for line in path.read_text().splitlines() if line.strip()] if path.exists() else []
-    if len(lines) > MOST:
-        raise pytest.UsageError(f"{path}: {len(lines)} tests are listed, {MOST} at most")
-    known = {}
+    if len(lines) > MAX_LISTED:
+        raise pytest.UsageError(f"{path}: {len(lines)} tests are listed, {MAX_LISTED} at most")
+    reasons = {}
     for number, line in enumerate(lines, 1):
         test, _, rest = line.partition(", ")
         cause, _, issue = rest.rpartition(", ")
         if not (test and cause and issue):
             raise pytest.UsageError(f"{path}:{number}: not `TEST, cause, issue`")
-        known[test] = f"{cause} ({issue})"
-    return known
+        reasons[test] = f"{cause} ({issue})"
+    return reasons
 
 
 def pytest_addoption(parser):
-    parser.addoption("--known-red", metavar="FILE", help="tests that are passed over while they fail")
+    parser.addoption("--known-red", metavar="FILE", help="list of tests whose failures are tolerated")
 
 
 @pytest.hookimpl(trylast=True)
 def pytest_collection_modifyitems(config, items):
     if not config.getoption("--known-red"):
         return
-    known = config.known_red = read(Path(config.getoption("--known-red")))
-    by_id = {item.nodeid: item for item in items}
-    for test, why in known.items():
-        if test not in by_id:
+    reasons = config.known_red = read(Path(config.getoption("--known-red")))
+    items_by_id = {item.nodeid: item for item in items}
+    for test, reason in reasons.items():
+        if test not in items_by_id:
             raise pytest.UsageError(f"KNOWN-RED: no test {test}")
-        by_id[test].add_marker(pytest.mark.xfail(reason=why, strict=True))
+        items_by_id[test].add_marker(pytest.mark.xfail(reason=reason, strict=True))
 
 
 def pytest_terminal_summary(terminalreporter, config):
-    for test, why in getattr(config, "known_red", {}).items():
-        terminalreporter.write_line(f"KNOWN-RED, passed over: {test}: {why}")
+    for test, reason in getattr(config, "known_red", {}).items():
+        terminalreporter.write_line(f"KNOWN-RED, passed over: {test}: {reason}")
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""CI passes over listed tests only, and only while they fail."""
+"""Known failures: CI tolerates listed tests only, and only while they fail."""
 
 import os
 import subprocess
@@ -8,26 +8,30 @@
 import pytest
 
 ROOT = Path(__file__).parents[1]
-TESTS = "def test_red():\n    assert False\n\ndef test_other():\n    assert {other}\n\ndef test_green():\n    pass\n"
+TESTS = (
+    "def test_red():\n    assert False\n\n"
+    "def test_other():\n    assert {other}\n\n"
+    "def test_green():\n    pass\n"
+)
 
 
 @pytest.mark.parametrize(
-    "listed,other,code,said",
+    "listed,other,exit_code,message",
     [
         (["test_red"], True, 0, "KNOWN-RED, passed over: test_it.py::test_red: a cause, told (issue 30)"),
         ([], True, 1, "1 failed"),
-        (["test_red"], False, 1, "1 failed"),  # one that is not listed
-        (["test_red", "test_green"], True, 1, "1 failed"),  # listed, and it passes
+        (["test_red"], False, 1, "1 failed"),  # a test that is not listed fails
+        (["test_red", "test_green"], True, 1, "1 failed"),  # a listed test passes
         (["test_red", "test_gone"], True, 4, "no test test_it.py::test_gone"),
         (["test_red"] * 4, True, 4, "4 tests are listed, 3 at most"),
     ],
 )
-def test_only_what_is_listed_and_fails_is_passed_over(tmp_path, listed, other, code, said):
+def test_only_failures_of_listed_tests_are_tolerated(tmp_path, listed, other, exit_code, message):
     (tmp_path / "test_it.py").write_text(TESTS.format(other=other))
     (tmp_path / "KNOWN-RED.txt").write_text(
         "".join(f"test_it.py::{test}, a cause, told, issue 30\n" for test in listed)
     )
-    ended = subprocess.run(
+    result = subprocess.run(
         [
             sys.executable,
             "-m",
@@ -46,10 +50,10 @@
         text=True,
         timeout=60,
     )
-    assert ended.returncode == code and said in ended.stdout + ended.stderr
+    assert result.returncode == exit_code and message in result.stdout + result.stderr
 
 
-def test_a_line_that_lacks_its_issue_is_told(tmp_path):
+def test_line_without_issue_is_rejected(tmp_path):
     from tests.known_red import read
 
     (tmp_path / "KNOWN-RED.txt").write_text("tests/test_it.py::test_red, a cause\n")
