--- a/benchmarks/controller_pace.py
+++ b/benchmarks/controller_pace.py
@@ -320,9 +320,7 @@
         f"{'jobs/CPU s':>12}{'of module':>11}{'MiB':>6}"
     )
     for journal, rate in [
-        (journal, float(text))
-        for text in arguments.rates.split(",")
-        for journal in arguments.journal.split(",")
+        (name, float(text)) for text in arguments.rates.split(",") for name in arguments.journal.split(",")
     ]:
         sent, accepted, placed, delays, client_delays, cpu_seconds, memory = anyio.run(
             run, rate, arguments.seconds, arguments.profile, journal, backend_options={"use_uvloop": True}
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -78,7 +78,10 @@
     patience: float = 30.0,
     lease: float = LEASE_SECONDS,
 ) -> Day:
-    """Writes a cluster file into the directory and returns a day that uses it; without members there is no council."""
+    """Writes a cluster file into the directory and returns a day that uses it.
+
+    Without members there is no council.
+    """
     directory.mkdir(parents=True, exist_ok=True)
     text = CLUSTER.format(controllers=controllers)
     if members:
@@ -88,7 +91,8 @@
         )
     (directory / "cluster.hcl").write_text(text)
     return parse_day(
-        f"cluster cluster.hcl\ncontrollers {controllers} zones a b\nhosts {hosts} kind std zones a b cells 4\n"
+        f"cluster cluster.hcl\ncontrollers {controllers} zones a b\n"
+        f"hosts {hosts} kind std zones a b cells 4\n"
         f"{lines or 'load web 1'}\n",
         str(directory / "bench.day"),
         directory,
--- a/linedeal/cli.py
+++ b/linedeal/cli.py
@@ -101,7 +101,7 @@
         raise CommandError(str(error), 2) from None
 
 
-def key_in(file: str | None) -> str:
+def read_council_key(file: str | None) -> str:
     """The council's key, from a file or else from LINEDEAL_COUNCIL_KEY.
 
     Raises CommandError if the file cannot be read. There is no option for the key itself, because every
@@ -121,7 +121,7 @@
     """Runs a coroutine function in an event loop and returns its result.
 
     `clock` is the rate of this process's clock, in seconds per real second; only day files set a rate
-    other than 1. Raises CommandError for an unknown backend.
+    other than 1. `fast` selects uvloop where it is installed. Raises CommandError for an unknown backend.
     """
     if clock != 1.0:
         from linedeal.lab.clocks import SkewedEventLoop
@@ -202,7 +202,7 @@
         address_of(discovery),
         random.SystemRandom().randrange(1 << 30) if seed is None else seed,
         address_of(council_listen) if council_listen else None,
-        key_in(council_key),
+        read_council_key(council_key),
     )
     policy_option = {}
     if policy != "linedeal":
@@ -452,7 +452,7 @@
 
 
 cli_jobs.add(app, run, CommandError)
-cli_fleet.add(app, run, key_in, CommandError)
+cli_fleet.add(app, run, read_council_key, CommandError)
 
 
 @app.command(epilog="Example: linedeal day examples/bad-day.day")
