--- a/benchmarks/bad_days.py
+++ b/benchmarks/bad_days.py
@@ -13,7 +13,7 @@
 
 from linedeal import audit
 from linedeal.lab import report
-from linedeal.lab.baselines import RandomChoice, MostFreeCapacity
+from linedeal.lab.baselines import MostFreeCapacity, RandomChoice
 from linedeal.lab.day import parse_day
 from linedeal.lab.play import play_in_memory
 from linedeal.policy import Controller
--- a/linedeal/cli.py
+++ b/linedeal/cli.py
@@ -546,8 +546,8 @@
     Each policy plays the same day.
     """
     from linedeal.lab import balance_run
-    from linedeal.lab.baselines import IN_MEMORY_POLICIES, POLICIES
     from linedeal.lab.balance_day import TROUBLES
+    from linedeal.lab.baselines import IN_MEMORY_POLICIES, POLICIES
 
     names, known = policies.split(","), IN_MEMORY_POLICIES if in_memory else POLICIES
     if unknown := [name for name in names if name not in known]:
