--- a/linedeal/audit/__init__.py
+++ b/linedeal/audit/__init__.py
@@ -1,4 +1,7 @@
-"""Judges a record of traffic by the five rules. Knows the protocol and the cluster's settings, not the controller."""
+"""Checks recorded traffic against the five rules.
+
+Knows the protocol and the cluster's settings, and nothing of the controller's own state.
+"""
 
 from linedeal.audit.rules import RULES, Breach, find_breaches
 from linedeal.audit.traffic import Traffic, reconstruct_traffic
--- a/linedeal/audit/duties.py
+++ b/linedeal/audit/duties.py
@@ -1,5 +1,8 @@
-"""Work on behalf of the fleet, judged from the record: orders and what they were told, changes of the council's registers,
-starts and deaths of hosts. Knows nothing of who decides."""
+"""Checks the duties' work against the record.
+
+Uses orders and their replies, changes of the council's registers, and starts and deaths of hosts. Knows
+nothing of how a duty's owner decides.
+"""
 
 from dataclasses import dataclass
 
@@ -11,20 +14,24 @@
 from linedeal.protocol import pb
 from linedeal.settings.records import Cluster
 
-KNOWN = 6.0  # seconds after a host's death within which an owner need not know of it: two silent, a late list
+# seconds after a host's death within which an owner need not know of it: it may find the host silent twice,
+# and its host list may be late
+DEATH_NOTICE_TIME = 6.0
 CLAIMS = {
     "tokens": "the tokens of effects carried out never go down, and each is one owner's",
-    "planned": "nothing is ordered that does not stand in the council",
+    "planned": "nothing is ordered before the council has recorded it",
     "twice": "no host is drained twice for one campaign",
-    "limit": "never more hosts out at once than may be, deaths counted",
+    "limit": "never more hosts out at once than permitted, dead hosts included",
     "irreversible": "no host is replaced under an irreversible job",
-    "ends": "each campaign ends, or says why it stands",
+    "ends": "each campaign ends, or gives the reason why it waits",
 }
 STAGES = {pb.HOST_DRAIN: Stage.DRAINS, pb.HOST_REPLACE: Stage.REPLACES}
 
 
 @dataclass(frozen=True, slots=True)
 class DutyBreach:
+    """A breach of one of `CLAIMS`; `t` in seconds on the recorder's clock."""
+
     claim: str
     t: float
     text: str
@@ -33,25 +40,27 @@
 def find_duty_breaches(traffic: Traffic, cluster: Cluster) -> list[DutyBreach]:
     """Every breach, in order of time; empty when all claims hold."""
     found = [
-        *tokens(traffic),
-        *planned(traffic),
-        *twice(traffic),
-        *limits(traffic, cluster),
-        *irreversible(traffic, cluster),
-        *ends(traffic),
+        *check_tokens(traffic),
+        *check_planned(traffic),
+        *check_repeated_drains(traffic),
+        *check_limits(traffic, cluster),
+        *check_irreversible(traffic, cluster),
+        *check_ends(traffic),
     ]
     return sorted(found, key=lambda breach: (breach.t, breach.claim, breach.text))
 
 
 def executed_orders(traffic: Traffic) -> list[ObservedOrder]:
+    """Drains and replacements whose reply says that they were done."""
     return [order for order in traffic.orders if order.done and order.kind != pb.HOST_LOOK]
 
 
-def tokens(traffic: Traffic):
-    places: dict[tuple[str, str], list[ObservedOrder]] = {}
+def check_tokens(traffic: Traffic):
+    """Claim "tokens": each token has one owner, and no receiver executes a lower one after a higher one."""
+    by_receiver: dict[tuple[str, str], list[ObservedOrder]] = {}
     owners: dict[tuple[str, int], str] = {}
     for order in executed_orders(traffic):
-        places.setdefault((order.to, order.duty), []).append(order)
+        by_receiver.setdefault((order.to, order.duty), []).append(order)
     for order in traffic.orders:
         if owners.setdefault((order.duty, order.token), order.owner) != order.owner:
             yield DutyBreach(
@@ -60,46 +69,52 @@
                 f"token {order.token} of {order.duty} is {order.owner}'s and "
                 f"{owners[order.duty, order.token]}'s",
             )
-    for (place, duty), orders in places.items():
-        for late in orders:
-            before = max((other.token for other in orders if other.answered_at < late.came), default=0)
-            if late.token < max(before, late.highest_token):
+    for (receiver, duty), orders in by_receiver.items():
+        for later in orders:
+            before = max(
+                (other.token for other in orders if other.answered_at < later.earliest_execution), default=0
+            )
+            if later.token < max(before, later.highest_token):
                 yield DutyBreach(
                     "tokens",
-                    late.answered_at,
-                    f"{place} carried out token {late.token} of {duty} by {late.owner} "
-                    f"after {max(before, late.highest_token)}",
+                    later.answered_at,
+                    f"{receiver} carried out token {later.token} of {duty} by {later.owner} "
+                    f"after {max(before, later.highest_token)}",
                 )
 
 
-def progresses(traffic: Traffic) -> list[tuple[float, float, Progress]]:
-    """Asked for, made, and what it says; those that cannot be read are nobody's progress."""
+def progress_changes(traffic: Traffic) -> list[tuple[float, float, Progress]]:
+    """Each change of the campaign's progress: when it was requested, when made, and the progress.
+
+    Leaves out what cannot be decoded.
+    """
     found = []
     for change in traffic.changes:
         if change.key == CAMPAIGN:
             try:
                 found.append((change.t, change.made, campaign.decode(decode(change.body).progress, Progress)))
             except DutyError:
-                pass  # refused by whoever reads it, too
+                pass  # whoever reads the register refuses it as well
     return found
 
 
-def standing_since(traffic: Traffic) -> dict[tuple, float]:
-    """Since when each step stands in the council, by campaign, host, boot and stage."""
+def step_times(traffic: Traffic) -> dict[tuple, float]:
+    """Since when the council has recorded each step, by campaign, host, boot and stage."""
     first: dict[tuple, float] = {}
-    for _, made, progress in progresses(traffic):
-        for turn in progress.out:
-            step = progress.id, turn.host, turn.boot, turn.stage
+    for _, made, progress in progress_changes(traffic):
+        for update in progress.out:
+            step = progress.id, update.host, update.boot, update.stage
             first[step] = min(first.get(step, NEVER), made)
     return first
 
 
-def planned(traffic: Traffic):
-    first = standing_since(traffic)
+def check_planned(traffic: Traffic):
+    """Claim "planned": no drain or replacement is ordered before the council has recorded it."""
+    first = step_times(traffic)
     for order in traffic.orders:
         if order.kind in STAGES:
-            stands = first.get((order.campaign, order.host, order.boot, STAGES[order.kind]), NEVER)
-            if order.t < stands:
+            recorded = first.get((order.campaign, order.host, order.boot, STAGES[order.kind]), NEVER)
+            if order.t < recorded:
                 yield DutyBreach(
                     "planned",
                     order.t,
@@ -108,7 +123,8 @@
                 )
 
 
-def twice(traffic: Traffic):
+def check_repeated_drains(traffic: Traffic):
+    """Claim "twice": no host is drained for a campaign that has replaced it."""
     replaced: dict[tuple[str, str], float] = {}  # since when, by campaign and host
     for order in executed_orders(traffic):
         if order.kind == pb.HOST_REPLACE:
@@ -116,19 +132,19 @@
             replaced[key] = min(replaced.get(key, NEVER), order.answered_at)
     for order in executed_orders(traffic):
         since = replaced.get((order.campaign, order.host), NEVER)
-        if order.kind == pb.HOST_DRAIN and order.came > since:
+        if order.kind == pb.HOST_DRAIN and order.earliest_execution > since:
             yield DutyBreach(
                 "twice", order.t, f"{order.host} was drained for {order.campaign} after it had been replaced"
             )
 
 
-def spans_of(traffic: Traffic) -> tuple[dict, dict]:
-    """For each host, when it was out by a campaign and when it was dead: (from, to the start of its next boot)."""
+def unavailable_spans(traffic: Traffic) -> tuple[dict, dict]:
+    """By host, the spans in which a campaign had it out and in which it was dead, up to its next start."""
     starts: dict[str, list[float]] = {}
     for (host, _), t in traffic.booted.items():
         starts.setdefault(host, []).append(t)
 
-    def back(host, since):
+    def next_start(host, since):
         return min((t for t in starts.get(host, ()) if t > since), default=NEVER)
 
     drained: dict[tuple[str, int], float] = {}
@@ -140,32 +156,41 @@
     out: dict[str, list] = {}
     dead: dict[str, list] = {}
     for (host, _), since in drained.items():
-        out.setdefault(host, []).append((since, back(host, since)))
+        out.setdefault(host, []).append((since, next_start(host, since)))
     for t, what, who in traffic.marks:
         if what == "kill" and who in starts:
-            dead.setdefault(who, []).append((t, back(who, t)))
+            dead.setdefault(who, []).append((t, next_start(who, t)))
     return out, dead
 
 
-def limits(traffic: Traffic, cluster: Cluster):
-    """At the first order for each drain that is carried out: what is out by campaigns then, and what had died long enough
-    before it was planned that its owner must have known."""
+def check_limits(traffic: Traffic, cluster: Cluster):
+    """Claim "limit": no executed drain exceeds the campaign's bounds on hosts and cells.
+
+    Checked at the first order for each drain. Counts the hosts that campaigns have out then, and those that
+    had died DEATH_NOTICE_TIME before the drain was planned, so that its owner must have known.
+    """
     plans = plans_of(traffic)
-    out, dead = spans_of(traffic)
-    stands, seen = standing_since(traffic), set()
+    out, dead = unavailable_spans(traffic)
+    planned, seen = step_times(traffic), set()
     for order in sorted(executed_orders(traffic), key=lambda order: order.answered_at):
         if order.kind != pb.HOST_DRAIN or (order.host, order.boot) in seen:
             continue
         seen.add((order.host, order.boot))
         planned_at = min(
-            order.answered_at, stands.get((order.campaign, order.host, order.boot, Stage.DRAINS), NEVER)
+            order.answered_at, planned.get((order.campaign, order.host, order.boot, Stage.DRAINS), NEVER)
         )
         plan = plans.get(order.campaign)
         bounds = cluster.campaign.bounds if plan is None else plan.bounds.within(cluster.campaign.bounds)
         away = {order.host} | {
-            host for host, spans in out.items() if any(a < order.answered_at < b for a, b in spans)
+            host
+            for host, spans in out.items()
+            if any(start < order.answered_at < end for start, end in spans)
+        }
+        away |= {
+            host
+            for host, spans in dead.items()
+            if any(start + DEATH_NOTICE_TIME < planned_at < end for start, end in spans)
         }
-        away |= {host for host, spans in dead.items() if any(a + KNOWN < planned_at < b for a, b in spans)}
         away = sorted(host for host in away if plan is None or host in plan.fleet)
         if len(away) > bounds.most:
             yield DutyBreach(
@@ -182,7 +207,8 @@
             )
 
 
-def irreversible(traffic: Traffic, cluster: Cluster):
+def check_irreversible(traffic: Traffic, cluster: Cluster):
+    """Claim "irreversible": no host is replaced while it holds an irreversible job."""
     offerings = cluster.settings.offerings
     for t, what, who in traffic.marks:
         if what == "replace":
@@ -191,32 +217,37 @@
                     launch.host == who
                     and offerings[launch.job.offering].effect is Effect.IRREVERSIBLE
                     and launch.accepted < t < min(launch.ended, launch.lost)
-                    and not over_unheard(traffic, launch, t)
+                    and not ended_unreported(traffic, launch, t)
                 ):
                     yield DutyBreach("irreversible", t, f"{who} was replaced under {launch.job.id}")
 
 
-def over_unheard(traffic: Traffic, launch: ObservedLaunch, t: float) -> bool:
-    """An end that comes while its controller is away is told to nobody before that one's next link, and may go with the
-    host. Over by the host's own word, then: asked after the last link that knew of it had ended, it drained, so that
-    nothing new came, and held no irreversible job. While a link stands, only what is told on it counts."""
+def ended_unreported(traffic: Traffic, launch: ObservedLaunch, t: float) -> bool:
+    """Whether a reply of the host proves before `t` that the launch had ended, though no link reported it.
+
+    An end that occurs while the controller is disconnected is reported only on its next link, and is lost if
+    the host goes first. The host's own reply to an order counts then: asked after the last link that knew of
+    the launch had ended, it was draining, so that it accepted nothing new, and held no irreversible job.
+    While that link is open, only what is reported on it counts.
+    """
     return any(
         order.to == launch.host
-        and order.at == launch.boot
-        and order.clear
-        and launch.unheard < order.came
+        and order.answering_boot == launch.boot
+        and order.drained
+        and launch.unreported_since < order.earliest_execution
         and order.answered_at < t
         for order in traffic.orders
     )
 
 
 def campaign_outcomes(traffic: Traffic) -> list[tuple[Plan, Progress]]:
-    """Each plan that was made, as last changed, with the last progress that stood."""
-    last = {progress.id: progress for _, made, progress in progresses(traffic) if made < NEVER}
+    """Each recorded plan in its last version, with its last recorded progress."""
+    last = {progress.id: progress for _, made, progress in progress_changes(traffic) if made < NEVER}
     return [(plan, last.get(plan.id, Progress())) for plan in plans_of(traffic).values()]
 
 
 def plans_of(traffic: Traffic) -> dict[str, Plan]:
+    """The recorded plans in their last version, by id."""
     plans = [
         campaign.decode(change.body, Plan)
         for change in traffic.changes
@@ -225,7 +256,8 @@
     return {plan.id: plan for plan in plans}
 
 
-def ends(traffic: Traffic):
+def check_ends(traffic: Traffic):
+    """Claim "ends": a campaign has ended, has hosts out, or gives the reason why it waits."""
     for plan, progress in campaign_outcomes(traffic):
         if not (progress.ended or progress.stands or progress.out):
             yield DutyBreach("ends", traffic.end, f"{plan.id} neither ended nor says why it stands")
--- a/linedeal/audit/rules.py
+++ b/linedeal/audit/rules.py
@@ -1,4 +1,4 @@
-"""The five rules, each judged from the record alone."""
+"""The five rules, each checked against the record alone."""
 
 from bisect import bisect_right
 from dataclasses import dataclass
@@ -8,52 +8,56 @@
 from linedeal.protocol import pb
 from linedeal.settings.records import Cluster
 
-SESSION_AGAIN = (
-    2.5  # seconds after a session's new link for what was settled meanwhile: a new life's patience is in it
-)
-JITTER = 0.15  # seconds by which links may differ in when the recorder sees one moment of a controller
+# seconds after a session's reconnect within which it is sent the answers decided meanwhile; covers the time
+# that a new incarnation waits for its hosts' inventories
+RECONNECT_GRACE = 2.5
+# seconds by which the times of messages that a controller handles in one moment may differ between links
+JITTER = 0.15
 RULES = {
     1: "every job taken is answered once, in time, and nothing is sent after",
     2: "no effect twice, one launch out at a time",
     3: "nothing new to a draining or gone host past the grace",
-    4: "young hosts are not pushed over",
+    4: "hosts in slow start are not overloaded",
     5: "spread is kept at each send",
 }
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
+    """A breach of one rule; `t` in seconds on the recorder's clock."""
+
     rule: int
     t: float
     text: str
 
 
 def find_breaches(traffic: Traffic, cluster: Cluster) -> list[Breach]:
-    """Every breach, in order of rule and time; empty when all five were kept."""
-    found = [Breach(rule, t, text) for t, rule, text in traffic.doubled]
+    """Every breach, in order of rule and time; empty when all five rules hold."""
+    found = [Breach(rule, t, text) for t, rule, text in traffic.duplicates]
     for job in traffic.jobs.values():
-        found += answered_once(traffic, cluster, job)
-        found += no_effect_twice(traffic, cluster, job)
-    found += drains_kept(traffic, cluster)
-    found += young_kept(traffic, cluster)
-    found += spread_kept(traffic, cluster)
+        found += check_answer(traffic, cluster, job)
+        found += check_repeats(traffic, cluster, job)
+    found += check_drains(traffic, cluster)
+    found += check_slow_start(traffic, cluster)
+    found += check_spread(traffic, cluster)
     return sorted(found, key=lambda breach: (breach.rule, breach.t, breach.text))
 
 
 def offering_of(cluster, job):
+    """The settings of the job's offering."""
     return cluster.settings.offerings[job.offering]
 
 
 # -- rule 1
 
 
-def killed(traffic: Traffic, name: str, since: float) -> float:
+def next_kill(traffic: Traffic, name: str, since: float) -> float:
     """When that process was next killed from outside."""
     return next((t for t, what, who in traffic.marks if what == "kill" and who == name and t >= since), NEVER)
 
 
-def stood_until(traffic: Traffic, name: str, t: float) -> float:
-    """`t`, or the end of a stand-still from outside that `t` lies in."""
+def end_of_pause(traffic: Traffic, name: str, t: float) -> float:
+    """`t`, or the end of the pause in which `t` lies, where the process was paused from outside."""
     stopped = None
     for at, what, who in traffic.marks:
         if who == name and what == "stop":
@@ -65,34 +69,36 @@
     return t
 
 
-def answered_once(traffic, cluster, job: ObservedJob):
+def check_answer(traffic, cluster, job: ObservedJob):
+    """Rule 1: one answer by the due time, the same however often it is told, and no launch after it."""
     offering = offering_of(cluster, job)
     wait = min(job.wait or offering.expiry, offering.expiry)
-    due = stood_until(traffic, job.controller, max(job.taken, job.began) + wait) + cluster.rules.answer_slack
+    due = end_of_pause(traffic, job.controller, max(job.taken, job.began) + wait) + cluster.rules.answer_slack
     if job.session:
-        # neither a kill nor a broken link excuses it; it can be told once the controller stands and a link does
-        due, gone = told_by(traffic, job, due), NEVER if not job.aside else 0.0
+        # Neither a kill nor a broken link excuses the answer: it is due once the controller runs and a link
+        # is open.
+        due, gone = delivery_deadline(traffic, job, due), NEVER if not job.on_hold else 0.0
     else:
-        gone = min(killed(traffic, job.controller, job.taken), job.left)
-    said = job.reported_verdicts
-    if not said:
+        gone = min(next_kill(traffic, job.controller, job.taken), job.left)
+    verdicts = job.reported_verdicts
+    if not verdicts:
         if gone > due and traffic.end > due:
             yield Breach(1, due, f"{job.id} ({job.offering}) was taken at {job.taken:.3f} and never answered")
         return
-    first = said[0][0]
+    first = verdicts[0][0]
     if first > due:
         yield Breach(
             1, first, f"{job.id} ({job.offering}) was answered {first - due:.3f} s past its time and slack"
         )
     if not job.session and len(job.answers) > 1:
         yield Breach(1, job.answers[1][0], f"{job.id} ({job.offering}) was answered {len(job.answers)} times")
-    # a session asks again after a break, and is told the same answer again: never another
-    for t, verdict in said:
-        if verdict != said[0][1]:
+    # After a reconnect a session may be sent the same verdict again, never a different one.
+    for t, verdict in verdicts:
+        if verdict != verdicts[0][1]:
             yield Breach(
                 1,
                 t,
-                f"{job.id} ({job.offering}) was answered {pb.Verdict.Name(said[0][1])} and then "
+                f"{job.id} ({job.offering}) was answered {pb.Verdict.Name(verdicts[0][1])} and then "
                 f"{pb.Verdict.Name(verdict)}",
             )
             break
@@ -103,25 +109,29 @@
             )
 
 
-def told_by(traffic: Traffic, job: ObservedJob, due: float) -> float:
-    """When the answer has to have been told: at `due`, or soon after a link of its session stands again."""
+def delivery_deadline(traffic: Traffic, job: ObservedJob, due: float) -> float:
+    """When a session must have its answer: at `due`, or RECONNECT_GRACE after it reconnects.
+
+    Only links that stay open for RECONNECT_GRACE count.
+    """
     end = NEVER
     for opened, ended, _ in traffic.sessions.get((job.controller, job.session), ()):
-        if opened <= due <= ended - SESSION_AGAIN:
-            # a link that stands: what was lost with an earlier one is told as this one begins
-            end = min(end, max(due, opened + SESSION_AGAIN))
-        elif opened > due and ended > opened + SESSION_AGAIN:
-            end = min(end, opened + SESSION_AGAIN)
+        if opened <= due <= ended - RECONNECT_GRACE:
+            # The link is open at the due time; answers lost with an earlier one are sent again as it opens.
+            end = min(end, max(due, opened + RECONNECT_GRACE))
+        elif opened > due and ended > opened + RECONNECT_GRACE:
+            end = min(end, opened + RECONNECT_GRACE)
     return end
 
 
 # -- rule 2
 
 
-def no_effect_twice(traffic, cluster, job: ObservedJob):
+def check_repeats(traffic, cluster, job: ObservedJob):
+    """Rule 2: launches of a job do not overlap, and it runs again only as its offering's effect permits."""
     offering = offering_of(cluster, job)
-    for place, launch in enumerate(job.launches):
-        earlier = job.launches[:place]
+    for index, launch in enumerate(job.launches):
+        earlier = job.launches[:index]
         for other in earlier:
             over = min(
                 other.t + other.wait,
@@ -148,7 +158,7 @@
                 launch.t,
                 f"{job.id} (irreversible) was sent to {launch.host}, and may have run at {first.host}",
             )
-        elif group_of(traffic, offering.dedup_level, launch.host) != group_of(
+        elif domain_of(traffic, offering.dedup_level, launch.host) != domain_of(
             traffic, offering.dedup_level, first.host
         ):
             yield Breach(
@@ -166,6 +176,7 @@
             )
     for t, verdict in job.answers + job.status_verdicts[:1]:
         may_have_run = [launch for launch in job.launches if launch.never_ran > t]
+        # After a rejection the owner may submit the job again, and any host may run it.
         harmless = offering.effect is Effect.REDOABLE or (
             offering.effect is Effect.LABELLED and offering.dedup_level is TopologyLevel.ALL
         )
@@ -178,19 +189,21 @@
             )
 
 
-def group_of(traffic, place: TopologyLevel, host: str):
+def domain_of(traffic, level: TopologyLevel, host: str):
+    """The topology domain of a host at that level: "all", its zone, its cell or its own name."""
     zone, cell = traffic.places.get(host, ("", 0))
-    return {TopologyLevel.ALL: "all", TopologyLevel.ZONE: zone, TopologyLevel.CELL: cell}.get(place, host)
+    return {TopologyLevel.ALL: "all", TopologyLevel.ZONE: zone, TopologyLevel.CELL: cell}.get(level, host)
 
 
 # -- rule 3
 
 
-def drains_kept(traffic, cluster):
+def check_drains(traffic, cluster):
+    """Rule 3: past the grace, no launch goes to a host that its controller knows to drain or to be gone."""
     for launch in traffic.launches.values():
-        told = traffic.told.get((launch.controller, launch.life, launch.host))
+        view = traffic.host_views.get((launch.controller, launch.life, launch.host))
         since = None
-        for t, mode in told.modes if told else ():
+        for t, mode in view.modes if view else ():
             if t > launch.t:
                 break
             if mode == pb.SERVING:
@@ -209,7 +222,12 @@
 # -- rule 4
 
 
-def young_kept(traffic, cluster):
+def check_slow_start(traffic, cluster):
+    """Rule 4: a host in slow start is offered no more launches within the window than its limit.
+
+    Reports each boot at most once. A burst counts only where controllers that knew of the boot sent at least
+    two thirds of its launches: the others could not know that the host had just started.
+    """
     settings = cluster.settings
     by_boot: dict[tuple, list[ObservedLaunch]] = {}
     for launch in traffic.launches.values():
@@ -224,69 +242,78 @@
         sent.sort(key=lambda launch: launch.t)
         times = [launch.t for launch in sent]
         for end, launch in enumerate(sent):
-            span = sent[bisect_right(times, launch.t - settings.slow_start_window) : end + 1]
-            told = [l for l in span if l.t >= boots_told(traffic, l).get(boot, NEVER)]
-            if len(span) > settings.slow_start_limit and 3 * len(told) >= 2 * len(span):
+            burst = sent[bisect_right(times, launch.t - settings.slow_start_window) : end + 1]
+            informed = [other for other in burst if other.t >= known_boots(traffic, other).get(boot, NEVER)]
+            if len(burst) > settings.slow_start_limit and 3 * len(informed) >= 2 * len(burst):
                 yield Breach(
                     4,
                     launch.t,
-                    f"{host} was offered {len(span)} jobs within {settings.slow_start_window:g} s, "
+                    f"{host} was offered {len(burst)} jobs within {settings.slow_start_window:g} s, "
                     f"{launch.t - traffic.booted[host, boot]:.1f} s after its start",
                 )
                 break
 
 
-def boots_told(traffic, launch) -> dict[int, float]:
-    told = traffic.told.get((launch.controller, launch.life, launch.host))
-    return told.boots if told else {}
+def known_boots(traffic, launch) -> dict[int, float]:
+    """When the launch's controller was first told of each boot of the host."""
+    view = traffic.host_views.get((launch.controller, launch.life, launch.host))
+    return view.boots if view else {}
 
 
 # -- rule 5
 
 
-def spread_kept(traffic, cluster):
+def check_spread(traffic, cluster):
+    """Rule 5: at each send a domain holds no more launches of a service than the offering's spread permits.
+
+    Counted for each incarnation of a controller, with the earlier ones' launches that a welcome named to it.
+    """
     spread = {
         name: offering
         for name, offering in cluster.settings.offerings.items()
         if offering.spread_level is not TopologyLevel.NONE
     }
-    held: dict[tuple, list[tuple[float, float, ObservedLaunch]]] = {}
+    counted: dict[tuple, list[tuple[float, float, ObservedLaunch]]] = {}
     for launch in traffic.launches.values():
         offering = spread.get(launch.job.offering)
         if offering is None:
             continue
-        since = [(launch.t, launch.life)] + [
-            (t, life) for t, name, life, found in traffic.found if found is launch
+        known_since = [(launch.t, launch.life)] + [
+            (t, life) for t, name, life, found in traffic.recovered if found is launch
         ]
-        for t, life in since:
-            where = (
+        for t, life in known_since:
+            domain = (
                 launch.controller,
                 life,
                 launch.job.service,
-                group_of(traffic, offering.spread_level, launch.host),
+                domain_of(traffic, offering.spread_level, launch.host),
             )
-            held.setdefault(where, []).append((t, over_at(traffic, launch), launch))
-    for where, counted in sorted(held.items(), key=lambda item: str(item[0])):
-        for t, _, launch in counted:
-            most = spread[launch.job.offering].max_per_domain
+            counted.setdefault(domain, []).append((t, end_of_launch(traffic, launch), launch))
+    for domain, launches in sorted(counted.items(), key=lambda item: str(item[0])):
+        for t, _, launch in launches:
+            limit = spread[launch.job.offering].max_per_domain
             if launch.t != t:
-                continue  # found as it ran: nothing was sent
-            there = [l for since, until, l in counted if since <= t and until > t + JITTER or l is launch]
-            if len(there) > most:
+                continue  # recovered while it ran: nothing was sent
+            present = [
+                other
+                for since, until, other in launches
+                if since <= t and until > t + JITTER or other is launch
+            ]
+            if len(present) > limit:
                 yield Breach(
                     5,
                     t,
-                    f"{launch.job.id} was sent to {launch.host} as number {len(there)} of service "
-                    f"{launch.job.service} in {where[3]}, at most {most}",
+                    f"{launch.job.id} was sent to {launch.host} as number {len(present)} of service "
+                    f"{launch.job.service} in {domain[3]}, at most {limit}",
                 )
 
 
-def over_at(traffic, launch: ObservedLaunch) -> float:
-    """From when a launch counts for nothing: its end, or its time when nobody had said yes."""
-    told = traffic.told.get((launch.controller, launch.life, launch.host))
+def end_of_launch(traffic, launch: ObservedLaunch) -> float:
+    """When a launch stops counting: at its end, or at its timeout or its link's end without an acceptance."""
+    view = traffic.host_views.get((launch.controller, launch.life, launch.host))
     gone = (
-        min((t for t, mode in told.modes if mode == pb.GONE and t > launch.t), default=NEVER)
-        if told
+        min((t for t, mode in view.modes if mode == pb.GONE and t > launch.t), default=NEVER)
+        if view
         else NEVER
     )
     over = min(launch.refused, launch.ended, launch.lost, launch.absent, launch.stopped, gone)
--- a/linedeal/audit/traffic.py
+++ b/linedeal/audit/traffic.py
@@ -1,9 +1,12 @@
-"""From recorded bytes to what each side said and was told, and when."""
+"""Reconstructs from recorded bytes what each side sent and received, and when.
+
+All times are seconds on the recorder's clock; `NEVER` stands for what the record does not show.
+"""
 
 import base64
 from collections import deque
+from collections.abc import Iterable
 from dataclasses import dataclass, field
-from typing import Iterable
 
 from linedeal.lab.record import Entry
 from linedeal.protocol import FrameError, FrameReader, pb
@@ -13,75 +16,81 @@
 
 @dataclass(slots=True, eq=False)
 class ObservedLaunch:
+    """A launch offered to a host, and what the host and the controller then said of it."""
+
     controller: str
-    life: int
+    life: int  # incarnation of the controller that sent it
     number: int
     job: pb.JobSpec
     host: str
-    t: float
-    wait: float
-    link: int
-    boot: int
-    held_back: bool  # a cut kept it when it came
+    t: float  # when the offer passed the recorder
+    wait: float  # seconds that the controller waits for an acceptance
+    link: int  # recorder's number of the link that carried the offer
+    boot: int  # boot that the host named in its welcome on that link
+    held_back: bool  # the offer was delayed by a cut: it may not have reached the host
     link_end: float = NEVER
     accepted: float = NEVER
     started: float = NEVER
     refused: float = NEVER
     ended: float = NEVER
     stopped: float = NEVER
-    lost: float = NEVER  # a later welcome of another boot, or the host told as gone
-    absent: float = NEVER  # a later welcome of the same boot that does not name it: it never ran
-    heard_on: object = None  # the last link that was told of it, as it was offered or by its welcome
-    unheard: float = NEVER  # since when that one has ended: what comes of the launch then is told to nobody
+    lost: float = NEVER  # first later welcome of another boot of the host
+    absent: float = NEVER  # first later welcome of the same boot that does not name it: it never ran
+    # last link on which the launch was known: the one that carried the offer, or whose welcome named it
+    reporting_link: object = None
+    # end of that link: news of the launch after it reaches no controller until the next link
+    unreported_since: float = NEVER
     outcome: int = 0
-    usage_reports: list[tuple[float, float]] = field(default_factory=list)  # when told, cores in use
+    usage_reports: list[tuple[float, float]] = field(default_factory=list)  # time, cores in use
 
     @property
     def never_ran(self) -> float:
-        """Since when it is known that it did not run."""
+        """Time from which the record proves that the launch did not run; `NEVER` where it does not."""
         return min(self.refused if self.refused < self.started else NEVER, self.absent)
 
 
 @dataclass(slots=True, eq=False)
 class ObservedJob:
+    """A job that a controller accepted, its launches, and what its owner was told."""
+
     id: str
     controller: str
     offering: str
     customer: str
     cores: float
     key: str
-    link: int
-    taken: float
-    wait: float
-    answers: list[tuple[float, int]] = field(default_factory=list)
-    left: float = NEVER
+    link: int  # id() of the observed client link
+    taken: float  # when the controller acknowledged it
+    wait: float  # seconds that the owner allows for an answer; 0: the offering's expiry holds
+    answers: list[tuple[float, int]] = field(default_factory=list)  # time, verdict
+    left: float = NEVER  # when its owner disconnected or withdrew it; for jobs without a session
     session: str = ""
-    status_verdicts: list[tuple[float, int]] = field(default_factory=list)  # verdicts shown by its standing
-    began: float = 0.0  # when its time to find a host began, where not as it was taken
-    over: bool = False  # its owner has let go of it: the key is free
-    aside: bool = False  # held, or its start time has not come
+    status_verdicts: list[tuple[float, int]] = field(default_factory=list)  # verdicts in status messages
+    began: float = 0.0  # start of its time to find a host, where that is later than its acceptance
+    over: bool = False  # its owner has released it: the session may reuse the key
+    on_hold: bool = False  # held, or its start time has not come
     launches: list[ObservedLaunch] = field(default_factory=list)
 
     @property
     def reported_verdicts(self) -> list[tuple[float, int]]:
-        """Each time that its owner was told a verdict, by an answer or by its standing."""
+        """Time and verdict of each answer and each status message that its owner received, in order."""
         return sorted(self.answers + self.status_verdicts)
 
 
 @dataclass(slots=True, eq=False)
-class Told:
-    """What one life of a controller had been told of one host."""
+class HostView:
+    """What one incarnation of a controller had been told of one host."""
 
-    modes: list[tuple[float, int]] = field(default_factory=list)
-    boots: dict[int, float] = field(default_factory=dict)
+    modes: list[tuple[float, int]] = field(default_factory=list)  # time, mode
+    boots: dict[int, float] = field(default_factory=dict)  # by boot: when it was first named
 
 
 @dataclass(slots=True, eq=False)
 class ObservedOrder:
-    """An order of a duty's owner, and what it was told."""
+    """An order of a duty's owner, and the reply to it."""
 
-    t: float  # as it came to the recorder
-    held: bool  # a cut kept it then
+    t: float  # when it passed the recorder
+    held: bool  # a cut delayed it
     to: str
     owner: str
     duty: str
@@ -92,63 +101,61 @@
     boot: int
     answered_at: float = NEVER
     done: bool = False
-    highest_token: int = 0  # token that the other side had seen
-    at: int = 0  # boot of the host that answered
-    clear: bool = False  # the host said that it drains, and held no irreversible job
+    highest_token: int = 0  # highest that the receiver had admitted
+    answering_boot: int = 0  # boot of the host that replied
+    drained: bool = False  # the host replied that it drains and holds no irreversible job
 
     @property
-    def came(self) -> float:
-        """The earliest at which it can have been carried out."""
+    def earliest_execution(self) -> float:
+        """The earliest time at which it can have been executed."""
         return self.t if not self.held else self.answered_at
 
 
 @dataclass(slots=True, eq=False)
 class ObservedChange:
-    """A change of one of the council's registers that was asked for."""
+    """A requested change of one of the council's registers."""
 
     t: float
     key: str
     body: bytes
-    made: float = NEVER  # when its asker was told that it is made
+    made: float = NEVER  # when the requester was told that the change is made
 
 
 @dataclass(slots=True)
 class ObservedLink:
+    """One connection, and the state needed to interpret what passes on it."""
+
     to: str
-    forth: FrameReader = field(default_factory=FrameReader)
-    back: FrameReader = field(default_factory=FrameReader)
+    sent: FrameReader = field(default_factory=FrameReader)  # towards `to`
+    received: FrameReader = field(default_factory=FrameReader)  # from `to`
     hello: object = None
     opened: float = 0.0
     boot: int = 0
-    asks: dict[str, deque] = field(default_factory=dict)  # not answered yet, by key
-    launches: list[ObservedLaunch] = field(default_factory=list)
-    knows: list[ObservedLaunch] = field(default_factory=list)  # those, and the ones that its welcome named
-    numbered: dict[int, object] = field(
-        default_factory=dict
-    )  # orders or changes of this link by their numbers
-    broken: bool = False
+    requests: dict[str, deque] = field(default_factory=dict)  # submissions without a reply, by key
+    launches: list[ObservedLaunch] = field(default_factory=list)  # offered on this link
+    known_launches: list[ObservedLaunch] = field(default_factory=list)  # those, and those its welcome named
+    # orders or changes sent on this link that have no reply yet, by number
+    pending: dict[int, object] = field(default_factory=dict)
+    broken: bool = False  # a frame could not be decoded: the rest is skipped
 
 
 @dataclass(slots=True)
 class Traffic:
-    """All that the rules are judged by."""
+    """What the rules and the duties' claims are checked against."""
 
     jobs: dict[str, ObservedJob] = field(default_factory=dict)
-    launches: dict[tuple, ObservedLaunch] = field(default_factory=dict)
-    told: dict[tuple, Told] = field(default_factory=dict)  # by controller, life, host
-    sessions: dict[tuple[str, str], list[list[float]]] = field(
-        default_factory=dict
-    )  # links of a controller's session
+    launches: dict[tuple, ObservedLaunch] = field(default_factory=dict)  # by controller, incarnation, number
+    host_views: dict[tuple, HostView] = field(default_factory=dict)  # by controller, incarnation, host
+    # links of a session as [opened, ended, id of the link], by controller and session
+    sessions: dict[tuple[str, str], list[list[float]]] = field(default_factory=dict)
     places: dict[str, tuple[str, int]] = field(default_factory=dict)  # zone and cell, by host
     booted: dict[tuple[str, int], float] = field(default_factory=dict)  # by host and boot
-    marks: list[tuple[float, str, str]] = field(default_factory=list)
-    found: list[tuple] = field(
-        default_factory=list
-    )  # welcome's time, controller, life, launch of an earlier life
+    marks: list[tuple[float, str, str]] = field(default_factory=list)  # faults from outside: time, what, who
+    # launches of an earlier incarnation that a welcome named: its time, controller, incarnation, launch
+    recovered: list[tuple] = field(default_factory=list)
     turned_away: int = 0
-    doubled: list[tuple[float, int, str]] = field(
-        default_factory=list
-    )  # numbers used twice: time, rule, what
+    # identifiers used twice: time, number of the rule, text
+    duplicates: list[tuple[float, int, str]] = field(default_factory=list)
     orders: list[ObservedOrder] = field(default_factory=list)
     changes: list[ObservedChange] = field(default_factory=list)
     bad_frames: list[tuple[float, str, str]] = field(default_factory=list)
@@ -156,11 +163,11 @@
 
 
 def reconstruct_traffic(entries: Iterable[Entry]) -> Traffic:
-    """Reads a whole record."""
+    """Reads a whole record. A frame that cannot be decoded goes to `bad_frames` and ends its link's part."""
     reader = Reader()
     for entry in entries:
-        reader.take(entry)
-    # joined at the end: an offer may pass on its link before "taken" does on the client's
+        reader.process(entry)
+    # Jobs get their launches last: an offer may pass the recorder before the client's "taken" does.
     for launch in reader.traffic.launches.values():
         job = reader.traffic.jobs.get(launch.job.id)
         if job is not None:
@@ -169,25 +176,30 @@
 
 
 class Reader:
+    """Processes the entries of a record in order and fills `traffic`."""
+
     def __init__(self):
+        """Starts with no link known."""
         self.traffic = Traffic()
         self.links: dict[int, ObservedLink] = {}
         self.keys: dict[tuple[str, str, str], str] = {}  # job by controller, session and key
-        self.life_hosts: dict[tuple, set[str]] = {}
+        # hosts that discovery has named, by controller and incarnation
+        self.listed_hosts: dict[tuple, set[str]] = {}
 
-    def take(self, entry: Entry) -> None:
+    def process(self, entry: Entry) -> None:
+        """Interprets one entry. Entries of a link whose frames cannot be decoded are skipped."""
         self.traffic.end = max(self.traffic.end, entry.t)
         if entry.e == "mark":
             self.traffic.marks.append((entry.t, entry.what, entry.who))
         elif entry.e == "open":
             self.links[entry.link] = ObservedLink(entry.to, opened=entry.t)
         elif entry.e == "end":
-            self.ended(entry.t, self.links[entry.link])
+            self.link_ended(entry.t, self.links[entry.link])
         else:
             link = self.links[entry.link]
             if link.broken:
                 return
-            reader = link.forth if entry.d == ">" else link.back
+            reader = link.sent if entry.d == ">" else link.received
             try:
                 for message in reader.feed(base64.b64decode(entry.b)):
                     if message is not None:
@@ -196,15 +208,16 @@
                 link.broken = True
                 self.traffic.bad_frames.append((entry.t, link.to, str(error)))
 
-    def ended(self, t, link) -> None:
+    def link_ended(self, t, link) -> None:
+        """Notes the end of a link for its launches, its session or its client's jobs."""
         for launch in link.launches:
             launch.link_end = min(launch.link_end, t)
-        for launch in link.knows:
-            if launch.heard_on is link:
-                launch.unheard = min(launch.unheard, t)
+        for launch in link.known_launches:
+            if launch.reporting_link is link:
+                launch.unreported_since = min(launch.unreported_since, t)
         if link.hello is None or link.hello.role != pb.CLIENT:
             return
-        if link.hello.session:  # its jobs go on; while no link stands nothing can be told
+        if link.hello.session:  # its jobs go on; without a link no answer can be delivered
             for span in self.traffic.sessions.get((link.to, link.hello.session), ()):
                 if span[2] == id(link):
                     span[1] = min(span[1], t)
@@ -214,6 +227,7 @@
                 job.left = min(job.left, t)
 
     def message(self, entry, link, message) -> None:
+        """Dispatches a message by the role that the link's hello named, its direction and its type."""
         if isinstance(message, pb.Hello) and entry.d == ">":
             link.hello = message
             if message.role == pb.CLIENT and message.session:
@@ -228,18 +242,20 @@
     # -- client and controller
 
     def submit(self, entry, link, message) -> None:
-        # each is answered once, in order: by "taken" or by "turned away", however many have one key
-        link.asks.setdefault(message.key, deque()).append(message)
+        """A client submits a job."""
+        # Each submission gets one reply, "taken" or "turned away", in order, also where several share a key.
+        link.requests.setdefault(message.key, deque()).append(message)
 
     def taken(self, entry, link, message) -> None:
-        ask, known = link.asks[message.key].popleft(), self.traffic.jobs.get(message.job)
+        """The controller accepts a job, or joins the session's submission to one it has accepted before."""
+        request, known = link.requests[message.key].popleft(), self.traffic.jobs.get(message.job)
         if known is not None:
             if not known.session or (known.session, known.key) != (link.hello.session, message.key):
-                self.traffic.doubled.append((entry.t, 1, f"{message.job} was taken twice"))
+                self.traffic.duplicates.append((entry.t, 1, f"{message.job} was taken twice"))
             return  # joined by its own session and key
         other = self.keys.get((link.to, link.hello.session, message.key)) if link.hello.session else None
         if other is not None and not self.traffic.jobs[other].over:
-            self.traffic.doubled.append(
+            self.traffic.duplicates.append(
                 (
                     entry.t,
                     1,
@@ -251,49 +267,55 @@
         job = self.traffic.jobs[message.job] = ObservedJob(
             message.job,
             link.to,
-            ask.job.offering,
-            ask.job.customer,
-            ask.job.cores,
+            request.job.offering,
+            request.job.customer,
+            request.job.cores,
             message.key,
             id(link),
             entry.t,
-            ask.wait,
+            request.wait,
             session=link.hello.session,
-            aside=ask.hold,
+            on_hold=request.hold,
         )
-        if ask.start_in:
-            job.began = entry.t + ask.start_in
+        if request.start_in:
+            job.began = entry.t + request.start_in
 
     def standing(self, entry, link, message) -> None:
+        """The controller reports a job's stage; most stages imply a verdict."""
         job = self.traffic.jobs.get(message.job.id)
         if job is not None and message.stage in STAGE_VERDICTS:
             job.status_verdicts.append((entry.t, STAGE_VERDICTS[message.stage]))
 
     def ordered(self, entry, link, message) -> None:
+        """The controller confirms an owner's order: a hold or a release moves the job's due time."""
         job = self.traffic.jobs.get(self.keys.get((link.to, link.hello.session, message.key), ""))
         if job is not None and message.fault == pb.FAULT_NONE:
             if message.kind == pb.HOLD:
-                job.aside = True
+                job.on_hold = True
             elif message.kind == pb.RELEASE:
-                job.aside = False
+                job.on_hold = False
                 job.began = entry.t
 
     def forget(self, entry, link, message) -> None:
+        """An owner releases a job: its key may be used again."""
         job = self.traffic.jobs.get(self.keys.get((link.to, link.hello.session, message.key), ""))
         if job is not None:
             job.over = True
 
     def turned_away(self, entry, link, message) -> None:
+        """The controller declines a submission."""
         self.traffic.turned_away += 1
-        if link.asks.get(message.key):
-            link.asks[message.key].popleft()
+        if link.requests.get(message.key):
+            link.requests[message.key].popleft()
 
     def answer(self, entry, link, message) -> None:
+        """The controller answers a job."""
         job = self.traffic.jobs.get(message.job)
         if job is not None:
             job.answers.append((entry.t, message.verdict))
 
     def take_back(self, entry, link, message) -> None:
+        """A client withdraws a job that has no answer yet."""
         for job in self.traffic.jobs.values():
             if job.link == id(link) and job.key == message.key and not job.answers:
                 job.left = min(job.left, entry.t)
@@ -301,10 +323,12 @@
     # -- controller and host
 
     def find(self, launch) -> ObservedLaunch | None:
+        """The launch with that id, if its offer was recorded."""
         return self.traffic.launches.get((launch.controller, launch.life, launch.number))
 
     def offer(self, entry, link, message) -> None:
-        seen = ObservedLaunch(
+        """A controller offers a launch to a host."""
+        launch = ObservedLaunch(
             message.launch.controller,
             message.launch.life,
             message.launch.number,
@@ -316,48 +340,51 @@
             link.boot,
             entry.held,
         )
-        key = seen.controller, seen.life, seen.number
+        key = launch.controller, launch.life, launch.number
         if key in self.traffic.launches:
-            self.traffic.doubled.append(
+            self.traffic.duplicates.append(
                 (
                     entry.t,
                     2,
                     f"launch {key[1]}.{key[2]} of {key[0]} was sent twice, to "
-                    f"{self.traffic.launches[key].host} and {seen.host}",
+                    f"{self.traffic.launches[key].host} and {launch.host}",
                 )
             )
-        self.traffic.launches[key] = seen
-        link.launches.append(seen)
-        self.hears(link, seen)
+        self.traffic.launches[key] = launch
+        link.launches.append(launch)
+        self.reports_on(link, launch)
 
-    def hears(self, link, launch) -> None:
-        link.knows.append(launch)
-        launch.heard_on, launch.unheard = link, NEVER
+    def reports_on(self, link, launch) -> None:
+        """From now on news of the launch reaches its controller on this link."""
+        link.known_launches.append(launch)
+        launch.reporting_link, launch.unreported_since = link, NEVER
 
     def use(self, entry, link, message) -> None:
+        """A host reports the cores that a launch uses."""
         launch = self.find(message.launch)
         if launch is not None:
             launch.usage_reports.append((entry.t, message.cores))
 
     def welcome(self, entry, link, message) -> None:
+        """A host welcomes a controller with its inventory: what it proves of each earlier launch is noted."""
         link.boot = message.boot
         name, life, host = link.hello.name, link.hello.life, link.to
         self.boot(host, message.boot, entry.t, message.age)
-        told = self.traffic.told.setdefault((name, life, host), Told())
-        told.boots.setdefault(message.boot, entry.t)
+        view = self.traffic.host_views.setdefault((name, life, host), HostView())
+        view.boots.setdefault(message.boot, entry.t)
         held = {(item.launch.life, item.launch.number): item for item in message.held}
         for launch in self.traffic.launches.values():
             if launch.controller != name or launch.host != host:
                 continue
             item = held.get((launch.life, launch.number))
             if item is not None:
-                self.hears(link, launch)
+                self.reports_on(link, launch)
             if item is None and launch.link != entry.link:
                 if message.boot != launch.boot:
                     launch.lost = min(launch.lost, entry.t)
                 elif not message.forgot and launch.life <= life:
-                    # a host gives its account to a life after it has taken that life's number: what an earlier one
-                    # sent and it does not name, it never held
+                    # The host sends its inventory after it has registered the incarnation: a launch of an
+                    # earlier one that it does not name was never held there.
                     launch.absent = min(launch.absent, entry.t)
             elif item is not None and item.phase == pb.OVER:
                 launch.ended, launch.outcome = min(launch.ended, entry.t), item.outcome
@@ -366,32 +393,35 @@
                 if item.phase == pb.RUNNING:
                     launch.started = min(launch.started, entry.t)
                 if launch.life != life:
-                    self.traffic.found.append((entry.t, name, life, launch))
+                    self.traffic.recovered.append((entry.t, name, life, launch))
 
     def boot(self, host, boot, t, age) -> None:
+        """Notes when a boot of a host began; the earliest of several estimates counts. `age`: seconds."""
         known = self.traffic.booted.get((host, boot), NEVER)
         self.traffic.booted[host, boot] = min(known, t - age)
 
     # -- discovery
 
     def host_list(self, entry, link, message) -> None:
+        """Discovery sends hosts; from a whole list, hosts that it no longer names are gone."""
         name, life = link.hello.name, link.hello.life
-        known = self.life_hosts.setdefault((name, life), set())
+        known = self.listed_hosts.setdefault((name, life), set())
         for item in message.hosts:
             self.traffic.places[item.id] = (item.zone, item.cell)
             self.boot(item.id, item.boot, entry.t, item.age)
-            told = self.traffic.told.setdefault((name, life, item.id), Told())
-            told.modes.append((entry.t, item.mode))
-            told.boots.setdefault(item.boot, entry.t)
+            view = self.traffic.host_views.setdefault((name, life, item.id), HostView())
+            view.modes.append((entry.t, item.mode))
+            view.boots.setdefault(item.boot, entry.t)
             known.add(item.id)
         if message.whole:
             for host in known - {item.id for item in message.hosts}:
-                self.traffic.told[name, life, host].modes.append((entry.t, pb.GONE))
+                self.traffic.host_views[name, life, host].modes.append((entry.t, pb.GONE))
 
     # -- duties
 
     def order(self, entry, link, message) -> None:
-        seen = ObservedOrder(
+        """A duty's owner sends an order to a host or to the operators' tool."""
+        order = ObservedOrder(
             entry.t,
             entry.held,
             link.to,
@@ -403,51 +433,66 @@
             message.host,
             message.boot,
         )
-        self.traffic.orders.append(seen)
-        link.numbered[message.number] = seen
+        self.traffic.orders.append(order)
+        link.pending[message.number] = order
 
-    def order_told(self, entry, link, message) -> None:
-        seen = link.numbered.pop(message.number, None)
-        if seen is not None:
-            seen.answered_at, seen.done, seen.highest_token = entry.t, message.done, message.token
-            seen.at, seen.clear = message.boot, message.draining and not message.irreversible
+    def order_reply(self, entry, link, message) -> None:
+        """A host or the tool replies to an order."""
+        order = link.pending.pop(message.number, None)
+        if order is not None:
+            order.answered_at, order.done, order.highest_token = entry.t, message.done, message.token
+            order.answering_boot, order.drained = message.boot, message.draining and not message.irreversible
 
     def council_ask(self, entry, link, message) -> None:
+        """A controller requests a change of a register; the plan's and the campaign's are noted."""
         if message.kind == pb.CHANGE and message.key in (PLAN, CAMPAIGN):
-            seen = ObservedChange(entry.t, message.key, message.body)
-            self.traffic.changes.append(seen)
-            link.numbered[message.number] = seen
+            change = ObservedChange(entry.t, message.key, message.body)
+            self.traffic.changes.append(change)
+            link.pending[message.number] = change
 
-    def council_told(self, entry, link, message) -> None:
-        seen = link.numbered.pop(message.number, None)
-        if seen is not None and message.outcome == "DONE":
-            seen.made = entry.t
+    def council_reply(self, entry, link, message) -> None:
+        """The council replies to a request."""
+        change = link.pending.pop(message.number, None)
+        if change is not None and message.outcome == "DONE":
+            change.made = entry.t
 
 
 PLAN, CAMPAIGN = "campaign/plan", "duty/campaign"  # registers, as docs/protocol.md names them
-AT_HOST = (pb.STAGE_PLACED, pb.STAGE_RUNNING, pb.STAGE_DONE, pb.STAGE_ERROR, pb.STAGE_LOST, pb.STAGE_STOPPED)
+# stages that a job reaches only after it has been placed
+PLACED_STAGES = (
+    pb.STAGE_PLACED,
+    pb.STAGE_RUNNING,
+    pb.STAGE_DONE,
+    pb.STAGE_ERROR,
+    pb.STAGE_LOST,
+    pb.STAGE_STOPPED,
+)
 STAGE_VERDICTS = {
     pb.STAGE_REJECTED: pb.REJECTED,
     pb.STAGE_WRITTEN_OFF: pb.WRITTEN_OFF,
-    **dict.fromkeys(AT_HOST, pb.PLACED),
+    **dict.fromkeys(PLACED_STAGES, pb.PLACED),
 }
 
 
-def said(what):
-    """A handler that notes when a host, or the controller itself, first said that of a launch."""
+def first_time_of(event):
+    """A handler that records when a launch's host, or its controller, first reported that event.
+
+    `event` is the field of `ObservedLaunch` that takes the time.
+    """
 
     def handler(reader, entry, link, message):
         launch = reader.find(message.launch)
         if launch is not None and launch.host == link.to:
-            setattr(launch, what, min(getattr(launch, what), entry.t))
-            if what == "started":
+            setattr(launch, event, min(getattr(launch, event), entry.t))
+            if event == "started":
                 launch.accepted = min(launch.accepted, entry.t)
-            elif what == "ended":
+            elif event == "ended":
                 launch.outcome = message.outcome
 
     return handler
 
 
+# by the role in the link's hello, the direction (">" towards the listener) and the type of the message
 HANDLERS = {
     (pb.CLIENT, ">", pb.Submit): Reader.submit,
     (pb.CLIENT, "<", pb.Taken): Reader.taken,
@@ -462,13 +507,13 @@
     (pb.CONTROLLER, "<", pb.Welcome): Reader.welcome,
     (pb.CONTROLLER, "<", pb.HostList): Reader.host_list,
     (pb.CONTROLLER, "<", pb.Use): Reader.use,
-    (pb.CONTROLLER, "<", pb.Accepted): said("accepted"),
-    (pb.CONTROLLER, "<", pb.Refused): said("refused"),
-    (pb.CONTROLLER, "<", pb.Started): said("started"),
-    (pb.CONTROLLER, "<", pb.Ended): said("ended"),
-    (pb.CONTROLLER, ">", pb.Stop): said("stopped"),
+    (pb.CONTROLLER, "<", pb.Accepted): first_time_of("accepted"),
+    (pb.CONTROLLER, "<", pb.Refused): first_time_of("refused"),
+    (pb.CONTROLLER, "<", pb.Started): first_time_of("started"),
+    (pb.CONTROLLER, "<", pb.Ended): first_time_of("ended"),
+    (pb.CONTROLLER, ">", pb.Stop): first_time_of("stopped"),
     (pb.OWNER, ">", pb.DutyOrder): Reader.order,
-    (pb.OWNER, "<", pb.DutyTold): Reader.order_told,
+    (pb.OWNER, "<", pb.DutyTold): Reader.order_reply,
     (pb.CONTROLLER, ">", pb.CouncilAsk): Reader.council_ask,
-    (pb.CONTROLLER, "<", pb.CouncilTold): Reader.council_told,
+    (pb.CONTROLLER, "<", pb.CouncilTold): Reader.council_reply,
 }
--- a/linedeal/standin/__init__.py
+++ b/linedeal/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what stands outside: hosts and the list of hosts. Simulated: nothing is really run."""
+"""Simulated counterparts of a controller: hosts, discovery and the operators' tool. No job is really run."""
--- a/linedeal/standin/host.py
+++ b/linedeal/standin/host.py
@@ -1,5 +1,7 @@
-"""A stand-in host on the network: links from controllers and duties' owners, a line to discovery, faults switched from
-outside."""
+"""Simulated host on the network.
+
+Serves controllers and duties' owners, reports to discovery, and injects faults on order.
+"""
 
 from collections import deque
 from pathlib import Path
@@ -10,24 +12,25 @@
 from linedeal.net.base import CONNECTION_ERRORS
 from linedeal.protocol import FrameReader, encode, pb
 from linedeal.standin.model import HostModel
-from linedeal.standin.orders import PersistentFence, refused, serve_owner
+from linedeal.standin.orders import PersistentFence, refusal_reason, serve_owner
 
-REPORT_EVERY = 0.25  # seconds between two lines to discovery
-HELLO = 5.0
-UNREAD_MOST = 20000  # messages that a controller may leave unread before its link is ended
+REPORT_INTERVAL = 0.25  # seconds between two reports to discovery; also before a reconnect
+HELLO_TIMEOUT = 5.0  # seconds
+MAX_UNREAD = 20000  # messages that a controller may leave unread before its link is ended
 
 
 class Peer:
     """One controller's link."""
 
     def __init__(self, link: Link, hello):
+        """Starts with nothing to send; entries of `outbox` are (time to send, message)."""
         self.link, self.hello = link, hello
         self.outbox: deque = deque()
         self.wake, self.ended = anyio.Event(), anyio.Event()
 
 
 class HostServer:
-    """`fence`: the file in which it keeps the highest tokens of duties, over all its starts."""
+    """Connects a `HostModel` to the network."""
 
     def __init__(
         self,
@@ -39,19 +42,25 @@
         cell: int,
         fence: Path | None = None,
     ):
+        """Prepares a host that is not yet started.
+
+        `advertise`: the address reported to discovery; "itself" for the one at which it listens, empty until
+        an order sets it. `fence`: the file that keeps the highest tokens of duties over restarts. Raises
+        FenceFileError.
+        """
         self.model, self.net, self.discovery = model, net, discovery
         self.advertise, self.zone, self.cell = advertise, zone, cell
         self.peers: dict[str, Peer] = {}
         self.fence = PersistentFence(fence)
         self.changed = anyio.Event()
-        self.barred: frozenset[str] = (
-            frozenset()
-        )  # controllers cut off from here, where no tap plays it; *: all
-        self.unbarred = anyio.Event()
-        self.mute, self.delay = False, 0.0  # answers lost while probes are answered; answers late by so much
+        # peers partitioned from this host, where no recording proxy simulates it; "*": all
+        self.partitioned: frozenset[str] = frozenset()
+        self.partition_changed = anyio.Event()
+        # whether all but reports are dropped, and seconds by which messages are delayed
+        self.mute, self.delay = False, 0.0
 
     async def run(self, listen: Address, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
-        """Until it falls over; then it is down for good."""
+        """Serves until the model crashes, which is final; reports the address at which it listens."""
         async with anyio.create_task_group() as self.tasks:
             self.model.pass_time(anyio.current_time())
             address = await self.tasks.start(self.net.serve, listen, self.handle)
@@ -69,24 +78,25 @@
             self.tasks.cancel_scope.cancel()
 
     def flush(self) -> None:
-        """Gives what the model says to the links that stand; the rest is told at the next welcome."""
+        """Queues the model's messages on open links; the next welcome's inventory makes up for the others."""
         out, self.model.out = self.model.out, []
         for controller, message in out:
             peer = self.peers.get(controller)
             if peer is None or self.mute and not isinstance(message, pb.Report):
                 continue
-            if len(peer.outbox) >= UNREAD_MOST:
+            if len(peer.outbox) >= MAX_UNREAD:
                 peer.ended.set()
             peer.outbox.append((anyio.current_time() + self.delay, message))
             peer.wake.set()
 
     async def handle(self, stream) -> None:
+        """Serves one connection of a controller or a duty's owner until it is lost or replaced."""
         link, peer = Link(stream, FrameReader()), None
         try:
-            with anyio.fail_after(HELLO):
+            with anyio.fail_after(HELLO_TIMEOUT):
                 hello = await link.receive()
             if isinstance(hello, pb.Hello):
-                await self.clear(hello.name)
+                await self.until_reachable(hello.name)
             if isinstance(hello, pb.Hello) and hello.role == pb.OWNER:
                 await serve_owner(link, hello, self.model.name, self.model.cluster.council, self.carry_out)
             if not isinstance(hello, pb.Hello) or hello.role != pb.CONTROLLER:
@@ -102,37 +112,45 @@
             peer = self.peers[hello.name] = Peer(link, hello)
             await run_until_link_lost(self.read(peer), self.write(peer), self.until_ended(peer))
         except (LinkLostError, TimeoutError):
-            pass  # a controller that goes is nothing that a host tells of
+            pass  # the host goes on without the controller
         finally:
             if peer is not None and self.peers.get(peer.hello.name) is peer:
                 del self.peers[peer.hello.name]
             await link.close()
 
     async def read(self, peer: Peer) -> None:
+        """Passes a controller's messages to the model.
+
+        Raises LinkLostError as the link ends or is fenced off, or for a message that no controller may send.
+        """
         hello = peer.hello
         while True:
             messages = await peer.link.receive_all()
-            await self.clear(hello.name)
+            await self.until_reachable(hello.name)
             for message in messages:
-                # fenced: what an earlier link still brings is not taken, or a welcome's account would not hold
+                # Messages of an earlier link are dropped: handled now, they would make the inventory in the
+                # welcome of the later one wrong.
                 if not self.model.in_force(hello.name, hello.life, hello.link):
-                    raise LinkLostError("fenced")
+                    raise LinkLostError("fenced off by a later link")
                 now = anyio.current_time()
                 self.model.pass_time(now)
-                if not self.model.take(now, hello.name, message):
+                if not self.model.handle_message(now, hello.name, message):
                     raise LinkLostError(f"a controller may not send {type(message).__name__}")
             self.changed.set()
 
-    async def clear(self, controller: str) -> None:
-        """Once the link is not cut: what came and what is to go is kept meanwhile, as with packets sent again."""
-        while self.barred & {controller, "*"}:
-            await self.unbarred.wait()
+    async def until_reachable(self, controller: str) -> None:
+        """Waits while the controller is partitioned; data is delayed, as if TCP retransmitted it afterwards.
+
+        `controller` may also name an owner or discovery.
+        """
+        while self.partitioned & {controller, "*"}:
+            await self.partition_changed.wait()
 
     async def carry_out(self, order: pb.DutyOrder) -> pb.DutyTold:
-        """A duty's effect: it drains by it once, however often it is told."""
+        """Carries out a duty's order: drains the host once, however often it is ordered."""
         model = self.model
         model.pass_time(anyio.current_time())
-        why = refused(order, self.fence, (pb.HOST_DRAIN,))
+        why = refusal_reason(order, self.fence, (pb.HOST_DRAIN,))
         if not why and order.host != model.name:
             why = f"this is {model.name}, not {order.host}"
         if not why and order.kind == pb.HOST_DRAIN and order.boot != model.boot:
@@ -151,10 +169,12 @@
         )
 
     async def until_ended(self, peer: Peer) -> None:
+        """Raises LinkLostError once a later link replaces this one, or too much is unread on it."""
         await peer.ended.wait()
-        raise LinkLostError("a later link")
+        raise LinkLostError("replaced by a later link, or too much unread")
 
     async def write(self, peer: Peer) -> None:
+        """Sends what is queued for a controller, each message at its time."""
         while True:
             await peer.wake.wait()
             peer.wake = anyio.Event()
@@ -163,10 +183,11 @@
                 now, data = anyio.current_time(), bytearray()
                 while peer.outbox and peer.outbox[0][0] <= now:
                     data += encode(peer.outbox.popleft()[1])
-                await self.clear(peer.hello.name)
+                await self.until_reachable(peer.hello.name)
                 await peer.link.send(bytes(data))
 
     def entry(self) -> pb.HostEntry:
+        """The host as discovery lists it."""
         figures = self.model.report()
         return pb.HostEntry(
             id=self.model.name,
@@ -176,13 +197,13 @@
             cell=self.cell,
             mode=pb.DRAINING if self.model.draining else pb.SERVING,
             boot=self.model.boot,
-            age=self.model.now_age,
+            age=self.model.age,
             free_cores=figures["unasked_cores"],
             free_memory=figures["unasked_memory"],
         )
 
     async def register(self) -> None:
-        """Tells discovery of itself for as long as it lives, once it has been told its address."""
+        """Reports to discovery until cancelled, once the host's address is known; reconnects when cut off."""
         while not self.advertise:
             await anyio.sleep(0.02)
         while True:
@@ -191,17 +212,17 @@
                 link = Link(await self.net.connect(self.discovery), FrameReader())
                 await link.send(encode(pb.Hello(version=1, role=pb.HOST, name=self.model.name)))
                 while True:
-                    await self.clear("discovery")
+                    await self.until_reachable("discovery")
                     await link.send(encode(pb.HostList(hosts=[self.entry()])))
-                    await anyio.sleep(REPORT_EVERY)
+                    await anyio.sleep(REPORT_INTERVAL)
             except (LinkLostError, *CONNECTION_ERRORS):
-                await anyio.sleep(REPORT_EVERY)
+                await anyio.sleep(REPORT_INTERVAL)
             finally:
                 if link is not None:
                     await link.close()
 
     def control(self, order: dict) -> None:
-        """One fault switched; `order` is {fault name: value}."""
+        """Injects faults: `order` is {fault name: value}. Raises ValueError for an unknown name."""
         now = anyio.current_time()
         self.model.pass_time(now)
         faults = self.model.faults
@@ -215,21 +236,21 @@
             elif name == "pace":
                 faults.pace = float(value)
             elif name == "errors":
-                faults.errors = set(value)
+                faults.failing_offerings = set(value)
             elif name == "refuse":
-                faults.refuses = set(value)
+                faults.refused_customers = set(value)
             elif name == "surge":
                 faults.surge = dict(value)
             elif name == "advertise":
                 self.advertise = str(value)
             elif name == "bar":
-                self.barred |= frozenset(value)
+                self.partitioned |= frozenset(value)
             elif name == "unbar":
-                self.barred -= frozenset(value)
-                self.unbarred.set()
-                self.unbarred = anyio.Event()
+                self.partitioned -= frozenset(value)
+                self.partition_changed.set()
+                self.partition_changed = anyio.Event()
             elif name == "flush":
                 self.model.programs.clear()
             else:
-                raise ValueError(f"no fault {name!r}")
+                raise ValueError(f"unknown fault {name!r}")
         self.changed.set()
