--- a/linedeal/audit/duties.py
+++ b/linedeal/audit/duties.py
@@ -51,7 +51,7 @@
 
 
 def executed_orders(traffic: Traffic) -> list[ObservedOrder]:
-    """Drains and replacements whose reply says that they were done."""
+    """Drains and replacements whose reply confirms the execution."""
     return [order for order in traffic.orders if order.done and order.kind != pb.HOST_LOOK]
 
 
--- a/linedeal/audit/rules.py
+++ b/linedeal/audit/rules.py
@@ -70,7 +70,7 @@
 
 
 def check_answer(traffic, cluster, job: ObservedJob):
-    """Rule 1: one answer by the due time, the same however often it is told, and no launch after it."""
+    """Rule 1: one answer by the due time, the same however often it is sent, and no launch after it."""
     offering = offering_of(cluster, job)
     wait = min(job.wait or offering.expiry, offering.expiry)
     due = end_of_pause(traffic, job.controller, max(job.taken, job.began) + wait) + cluster.rules.answer_slack
@@ -255,7 +255,7 @@
 
 
 def known_boots(traffic, launch) -> dict[int, float]:
-    """When the launch's controller was first told of each boot of the host."""
+    """When the launch's controller first received news of each boot of the host."""
     view = traffic.host_views.get((launch.controller, launch.life, launch.host))
     return view.boots if view else {}
 
@@ -279,7 +279,7 @@
         if offering is None:
             continue
         known_since = [(launch.t, launch.life)] + [
-            (t, life) for t, name, life, found in traffic.recovered if found is launch
+            (t, life) for t, name, life, found in traffic.found if found is launch
         ]
         for t, life in known_since:
             domain = (
--- a/linedeal/audit/traffic.py
+++ b/linedeal/audit/traffic.py
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, eq=False)
 class ObservedLaunch:
-    """A launch offered to a host, and what the host and the controller then said of it."""
+    """A launch offered to a host, and what the host and the controller then reported of it."""
 
     controller: str
     life: int  # incarnation of the controller that sent it
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, eq=False)
 class ObservedJob:
-    """A job that a controller accepted, its launches, and what its owner was told."""
+    """A job that a controller accepted, its launches, and the verdicts sent to its owner."""
 
     id: str
     controller: str
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, eq=False)
 class HostView:
-    """What one incarnation of a controller had been told of one host."""
+    """What one incarnation of a controller had received about one host."""
 
     modes: list[tuple[float, int]] = field(default_factory=list)  # time, mode
     boots: dict[int, float] = field(default_factory=dict)  # by boot: when it was first named
@@ -118,7 +118,7 @@
     t: float
     key: str
     body: bytes
-    made: float = NEVER  # when the requester was told that the change is made
+    made: float = NEVER  # when the requester received the confirmation
 
 
 @dataclass(slots=True)
@@ -152,7 +152,7 @@
     booted: dict[tuple[str, int], float] = field(default_factory=dict)  # by host and boot
     marks: list[tuple[float, str, str]] = field(default_factory=list)  # faults from outside: time, what, who
     # launches of an earlier incarnation that a welcome named: its time, controller, incarnation, launch
-    recovered: list[tuple] = field(default_factory=list)
+    found: list[tuple] = field(default_factory=list)
     turned_away: int = 0
     # identifiers used twice: time, number of the rule, text
     duplicates: list[tuple[float, int, str]] = field(default_factory=list)
@@ -393,7 +393,7 @@
                 if item.phase == pb.RUNNING:
                     launch.started = min(launch.started, entry.t)
                 if launch.life != life:
-                    self.traffic.recovered.append((entry.t, name, life, launch))
+                    self.traffic.found.append((entry.t, name, life, launch))
 
     def boot(self, host, boot, t, age) -> None:
         """Notes when a boot of a host began; the earliest of several estimates counts. `age`: seconds."""
--- a/linedeal/standin/host_pool.py
+++ b/linedeal/standin/host_pool.py
@@ -2,7 +2,7 @@
 
 Samples the hosts' true load ten times a second and records every launch that arrives and whether it found
 free capacity, independent of what controllers assume. Partitions and kills of hosts are simulated here, as no
-recording proxy stands between so many links.
+recording proxy is placed between so many links.
 """
 
 import json
--- a/linedeal/standin/model.py
+++ b/linedeal/standin/model.py
@@ -1,6 +1,7 @@
-"""Behavior of a simulated host, as a state machine without I/O: messages and times go in, messages come out.
+"""Behavior of a simulated host: a state machine that takes messages and times and returns messages.
 
-Has no clock and no random source of its own, so that equal seeds give equal runs. All times are seconds.
+Has no I/O, no clock and no random source of its own, so that equal seeds give equal runs. All times are
+seconds.
 """
 
 import heapq
@@ -12,7 +13,7 @@
 from linedeal.protocol import pb
 from linedeal.settings.records import Cluster
 
-# ends kept until their controllers confirm them; past that the oldest are dropped, and welcomes say "forgot"
+# ends kept until their controllers confirm them; past that the oldest are dropped, and welcomes set `forgot`
 MAX_UNCONFIRMED_ENDS = 10000
 
 
@@ -263,7 +264,7 @@
         self.start_waiting(now)
 
     def update_usage(self, now, launch_id) -> None:
-        """Draws a job's usage anew and reports it.
+        """Draws a new usage for a job and reports it.
 
         While memory is overcommitted, evicts the job of least value.
         """
@@ -344,7 +345,7 @@
         """Ends a launch for a reason of the host's: refused before its start, lost after it."""
         if launch in self.starts:
             self.starts.remove(launch)
-        # Without confirmed starts the owner has been told "placed" on acceptance: a later drop is a loss.
+        # Without confirmed starts the owner was answered "placed" on acceptance: a later drop is a loss.
         if launch.phase == pb.RUNNING or not self.cluster.settings.starts_confirmed:
             self.end(launch.id, pb.LOST, reason)
         else:
@@ -389,7 +390,7 @@
         self.send(launch, pb.Refused(launch=launch.to_message(), reason=reason))
 
     def drain(self, now) -> None:
-        """Accepts nothing from now on, and ends or keeps its jobs as `behavior.drain` says."""
+        """Accepts nothing from now on, and drops or keeps its jobs as `behavior.drain` requires."""
         self.draining = True
         if self.behavior.drain != "keep":
             for index, launch in enumerate(list(self.launches.values())):
--- a/linedeal/standin/tool.py
+++ b/linedeal/standin/tool.py
@@ -1,7 +1,7 @@
 """Simulated operators' tool that replaces hosts.
 
-It asks whoever started it to replace a host, and waits for the news that the host has started anew. The boots
-that it replaces are on its disk before it begins.
+It asks whoever started it to replace a host, and waits for the report that the host has booted again. The
+boots that it replaces are on its disk before it begins.
 """
 
 import json
@@ -85,7 +85,7 @@
             with anyio.move_on_after(REPLACE_TIMEOUT):
                 while self.boots[order.host] == order.boot:
                     await self.changed.wait()
-            # A newer owner may have ordered meanwhile: the old one must not be told that it was the one.
+            # A newer owner may have ordered meanwhile: the effect must not be confirmed to the old one.
             why = refusal_reason(order, self.fence, (pb.HOST_REPLACE,))
             if why:
                 return self.reply(order, False, why)
