--- a/linedeal/engine/engine.py
+++ b/linedeal/engine/engine.py
@@ -25,9 +25,8 @@
 from linedeal.settings.records import Cluster
 
 ORPHAN_RETENTION = 60.0  # seconds for which a cancelled launch is remembered, to recognise a late acceptance
-STALL_THRESHOLD = (
-    0.25  # a timer this many seconds late shows that this process stalled, not that hosts were silent
-)
+# Seconds by which a timer has to be late to show that this process stalled, and not that hosts were silent.
+STALL_THRESHOLD = 0.25
 MAX_REQUEUED = 20  # jobs of an earlier incarnation that go back to the module in one step
 MAX_START_DELAY = 366 * 86400.0  # seconds: a job that starts later would only take up space
 MAX_NAME_LENGTH = 200  # characters of an offering's, a customer's or a service's name
--- a/linedeal/engine/fleet.py
+++ b/linedeal/engine/fleet.py
@@ -42,9 +42,8 @@
             record = self.hosts[listed.id] = HostRecord(listed, now - listed.age)
         elif listed.boot > record.listed.boot:
             record.booted = max(now - listed.age, record.booted)
-        elif (
-            listed.boot < record.listed.boot
-        ):  # an old entry that arrived after a newer one says nothing of boots
+        elif listed.boot < record.listed.boot:
+            # an old entry that arrived after a newer one: the newer boot and its age are kept
             listed = replace(listed, boot=record.listed.boot, age=record.listed.age)
         record.listed = listed
         (self.gone.add if listed.mode is Mode.GONE else self.gone.discard)(listed.id)
--- a/linedeal/engine/recovery.py
+++ b/linedeal/engine/recovery.py
@@ -44,9 +44,8 @@
     session: str
     key: str
     job: Job
-    expires_in: (
-        float  # seconds from the start of this incarnation, or from its release; 0 where that has passed
-    )
+    # seconds from the start of this incarnation, or from its release, to the expiry; 0 where that has passed
+    expires_in: float
     launches: tuple[OldLaunch, ...] = ()
     work: bytes = b""
     follow: bool = False
--- a/linedeal/platform/router.py
+++ b/linedeal/platform/router.py
@@ -89,9 +89,8 @@
             return self.refuse(line.id)
         if known is not None:
             if known.client == client and not known.running or known.running and request.host:
-                return LineResult(
-                    valid=False
-                )  # the first set-up with this id stays in effect and is answered
+                # the first set-up with this id stays in effect and is answered
+                return LineResult(valid=False)
             raise UnanswerableError("a second set-up under the id of a known task")
         task = self.tasks[line.id] = Task(line.id, client, running=bool(request.host))
         work = build_work(line.id, request, line.sdp)
