--- a/linedeal/engine/engine.py
+++ b/linedeal/engine/engine.py
@@ -50,7 +50,7 @@
     work: bytes = b""
     remaining: float = 0.0  # seconds to wait for a host, while it is held or before its start time
     returning: bool = False  # queued to go back to the module after a restart
-    risk: tuple[str, float] | None = None  # host and time of its first launch that may have run
+    uncertain_launch: tuple[str, float] | None = None  # host and time of its first launch that may have run
     guarantee: str = ""  # its offering's effect guarantee when an earlier incarnation accepted it
 
     @property
@@ -507,7 +507,7 @@
         owed = self.unanswered.get(launch.job.id)
         closed = owed is None
         if owed is not None and result not in NEVER_RAN:
-            owed.risk = owed.risk or (launch.host, launch.decided_at)
+            owed.uncertain_launch = owed.uncertain_launch or (launch.host, launch.decided_at)
         self.notify_module(
             api.LaunchEnded(launch.job.id, launch.id.number, launch.host, result, reason, closed)
         )
@@ -976,7 +976,7 @@
         if step is recovery.Step.AGAIN:
             first = recovery.first_uncertain_launch(job, self.inventories)
             if first is not None and offering.effect is not Effect.REDOABLE:
-                owed.risk = first.host, self.started_at - first.sent_ago
+                owed.uncertain_launch = first.host, self.started_at - first.sent_ago
             owed.returning = True
             self.returning.append(job_id)
             if len(self.returning) == 1:
@@ -997,7 +997,7 @@
             owed = self.unanswered.get(self.returning.popleft())
             if owed is not None and owed.returning:
                 owed.returning = False
-                self.notify_module(api.JobArrived(owed.job, owed.risk))
+                self.notify_module(api.JobArrived(owed.job, owed.uncertain_launch))
         if self.returning:
             self.timers.arm(self.now, "requeue", "")
 
--- a/linedeal/engine/launches.py
+++ b/linedeal/engine/launches.py
@@ -14,10 +14,10 @@
 class State(Enum):
     """The state of a launch as the engine knows it."""
 
-    OUT = "sent, no yes yet"
-    HELD = "the host has said yes"
-    RECALLED = "to be given up at its host, which has not been written yet"
-    STRAY = "given up; a yes may still come"
+    OUT = "sent, not accepted yet"
+    HELD = "accepted by the host"
+    RECALLED = "being cancelled at its host; the cancellation is not written yet"
+    STRAY = "orphaned: cancelled, but its host may still accept it"
 
 
 @dataclass(slots=True, eq=False)
--- a/linedeal/engine/sessions.py
+++ b/linedeal/engine/sessions.py
@@ -112,7 +112,7 @@
         entry.stage, entry.job.expiry = Stage.WAITING, engine.now + owed.remaining
         engine.emitted.append(effects.RecordHold(entry.job.id, False, owed.remaining, 0.0))
         self.notify_followers(entry)
-        engine.notify_module(api.JobArrived(entry.job, owed.risk))
+        engine.notify_module(api.JobArrived(entry.job, owed.uncertain_launch))
 
     def handle_start_time(self, job_id: str) -> None:
         """Resumes a job whose start time has come."""
@@ -140,7 +140,7 @@
         owed, launch = engine.unanswered.get(entry.job.id), engine.by_job.get(entry.job.id)
         offering = engine.current_offering(owed) if owed else None
         recovered = engine.unresolved.get(entry.job.id)
-        may_have_run = bool(owed and owed.risk) or bool(
+        may_have_run = bool(owed and owed.uncertain_launch) or bool(
             recovered and any(not old.void for old in recovered.launches)
         )
         decision = control.decide_order(
--- a/linedeal/platform/hostlink.py
+++ b/linedeal/platform/hostlink.py
@@ -143,7 +143,7 @@
 
     # -- for the engine's effects
 
-    def relist(self, listed: events.ListedHost) -> None:
+    def update_host(self, listed: events.ListedHost) -> None:
         """Applies a newer listing. Unsent launches are withheld from a host that drains or is gone."""
         if (listed.mode, listed.boot) != (self.listed.mode, self.listed.boot):
             self.log.info("host changed", host=listed.id, mode=listed.mode.name, age=round(listed.age, 1))
--- a/linedeal/platform/service.py
+++ b/linedeal/platform/service.py
@@ -220,7 +220,7 @@
                 self.log,
             )
             self.tasks.start_soon(link.run)
-        link.relist(listed)
+        link.update_host(listed)
 
     def connections_per_host(self) -> int:
         """The connections that each host may have, by the number of hosts."""
--- a/linedeal/policy.py
+++ b/linedeal/policy.py
@@ -30,9 +30,10 @@
 from linedeal.interface import Effect, Mode, Reason, Result, TopologyLevel
 
 # Cost function F = HOST_COST * hosts in use - LONE_TAZ_GAIN * hosts with exactly one taz. It is that of the
-# paper "Multi-Objective Job Placement in Clusters" (ClavisMO): HOST_COST is its alpha, LONE_TAZ_GAIN its beta,
-# and beta > alpha. `taz` and `turtle` are its terms, too: a taz is a service whose jobs use nearly all the
-# cores they request, a turtle any other.
+# paper "Multi-Objective Job Placement in Clusters" (ClavisMO).
+# HOST_COST is the paper's alpha and LONE_TAZ_GAIN its beta, with beta > alpha.
+# `taz` and `turtle` are the paper's terms, too: a taz is a service whose jobs use nearly all the cores they
+# request, a turtle any other.
 HOST_COST = 1.0
 LONE_TAZ_GAIN = 2.0
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -447,7 +447,7 @@
     d.engine.returning.clear()
     d.list_hosts("b", 0.2)  # ... while its host is removed before that
     d.engine.unanswered["c.1.1"].returning = True
-    d.engine.unanswered["c.1.1"].risk = ("a", 0.0)
+    d.engine.unanswered["c.1.1"].uncertain_launch = ("a", 0.0)
     d.engine.returning.append("c.1.1")
     d.engine.timers.arm(0.3, "requeue", "")
     assert not d.of_type(effects.SendLaunch, d.advance(9.0))
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -155,7 +155,7 @@
     d = EngineDriver()
     sent = d.of_type(effects.SendLaunch, submit(d, 1.0, "mail"))[0]
     d.step(1.0, events.LaunchesSent(sent.host, d.links[sent.host], (sent.number,)))
-    d.engine.unanswered[sent.job.id].risk = (sent.host, 1.0)
+    d.engine.unanswered[sent.job.id].uncertain_launch = (sent.host, 1.0)
     d.engine.by_job.pop(sent.job.id)
     assert reply_fault(d, order(d, 1.1, "HOLD")) is Fault.WRONG_STATE
 
