--- a/linedeal/client/client.py
+++ b/linedeal/client/client.py
@@ -44,7 +44,7 @@
 
 
 class JobDeclinedError(Exception):
-    """The controller did not accept the job and keeps no record of it; a retry is harmless."""
+    """The controller did not accept the job and has no record of it; a retry is harmless."""
 
     def __init__(self, reason: str, retry_after: float):
         """Sets the controller's reason and its advice on when to retry."""
--- a/linedeal/client/contact.py
+++ b/linedeal/client/contact.py
@@ -17,7 +17,7 @@
 
 
 class ContactError(ValueError):
-    """A contact string, or the file with the customer's key, is unusable; the message says why."""
+    """A contact string, or the file with the customer's key, is unusable; the message has the reason."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/linedeal/controller/client_listener.py
+++ b/linedeal/controller/client_listener.py
@@ -50,7 +50,7 @@
         log,
         awaits_answer: Callable[[int], bool],
     ):
-        """`awaits_answer` tells whether the link with a given number waits for an answer from the engine."""
+        """`awaits_answer` returns whether the link with a given number is owed an answer by the engine."""
         self.keys, limits = cluster.keys, cluster.limits
         self.offerings = translate.offerings(cluster.settings)
         self.controller, self.net, self.limits, self.inbox, self.log = controller, net, limits, inbox, log
--- a/linedeal/controller/hostlink.py
+++ b/linedeal/controller/hostlink.py
@@ -22,7 +22,7 @@
 
 
 class HostLink:
-    """The link to one host during one life of a controller.
+    """The link to one host during one incarnation of a controller.
 
     The synchronous methods are called by the loop that executes effects.
     """
@@ -106,7 +106,7 @@
             self.enqueue(effect)
 
     def enqueue(self, effect) -> None:
-        """Adds an effect to the queue whatever its length, and requests a connection."""
+        """Adds an effect to the queue, even beyond its limit, and requests a connection."""
         self.outbox.append(effect)
         self.wakeup.set()
 
@@ -276,7 +276,7 @@
         return bytes(data), numbers
 
     def launch_id_message(self, number: int, life: int = 0) -> pb.LaunchId:
-        """The message with a launch's ID, of this life unless another is given."""
+        """The message with a launch's ID, of this incarnation unless another is given."""
         return pb.LaunchId(controller=self.controller, life=life or self.life, number=number)
 
     async def keep_alive(self, link: Link) -> None:
--- a/linedeal/controller/runtime.py
+++ b/linedeal/controller/runtime.py
@@ -1,4 +1,4 @@
-"""One life of a controller, from its start to its end: the engine's loop and the tasks around it."""
+"""One incarnation of a controller, from its start to its end: the engine's loop and the tasks around it."""
 
 import itertools
 import time
@@ -27,7 +27,7 @@
 
 
 class HaltedError(Exception):
-    """This life of the controller has to end. The message has the reason."""
+    """This incarnation of the controller has to end. The message has the reason."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,12 +48,12 @@
     """Runs one controller: the engine, the links to clients, hosts and discovery, and the journal."""
 
     def __init__(self, setup: Setup, store: Store, net: Net, log, policy=Controller):
-        """Begins a new life in `store` and opens the journal. `policy` is the class of the decision module.
+        """Begins a new incarnation in `store` and opens the journal. `policy` is the decision module's class.
 
         Raises StoreError.
         """
         self.setup, self.store, self.net = setup, store, net
-        self.life = store.next_life()  # on disk before this life sends anything
+        self.life = store.next_life()  # on disk before this incarnation sends anything
         settings = setup.cluster.journal
         self.journal = Journal(store, settings.power, settings.most, settings.spare)
         self.clock = journal_clock.resume(
@@ -76,7 +76,8 @@
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
         """Runs until `shut_down` is called; reports the address for clients to `task_status`.
 
-        Raises HaltedError if this life has to end, and StoreError if the journal cannot be read or written.
+        Raises HaltedError if this incarnation has to end, and StoreError if the journal cannot be read or
+        written.
         """
         now = anyio.current_time()
         self.engine = Engine(
@@ -241,7 +242,7 @@
             await anyio.sleep(SPACE_CHECK_INTERVAL)
 
     def set_journal_full(self, full: bool) -> None:
-        """Tells the engine whether the journal is full, and logs changes."""
+        """Notifies the engine whether the journal is full, and logs changes."""
         if full != self.engine.journal_full:
             self.engine.journal_full = full
             if full:
--- a/linedeal/controller/translate.py
+++ b/linedeal/controller/translate.py
@@ -207,7 +207,7 @@
 
 
 def message_for_client(effect):
-    """The message that tells a client of an effect."""
+    """The message that notifies a client of an effect."""
     match effect:
         case effects.AcceptJob(_, key, job):
             return pb.Taken(key=key, job=job)
--- a/linedeal/controller/watch.py
+++ b/linedeal/controller/watch.py
@@ -11,12 +11,12 @@
 
 
 class DiscoveryWatch:
-    """Keeps a link to discovery while the engine asks for host lists, and passes the lists to the engine."""
+    """Maintains a link to discovery while the engine requests host lists, and passes them to the engine."""
 
     def __init__(
         self, address: Address, controller: str, life: int, net: Net, limits: Limits, inbox: Inbox, log
     ):
-        """Connects to `address` as the controller `controller` in its life `life`, when first asked."""
+        """Connects to `address` as incarnation `life` of controller `controller`, when first requested."""
         self.address, self.controller, self.life = address, controller, life
         self.net, self.limits, self.inbox, self.log = net, limits, inbox, log
         self.requested = anyio.Event()
--- a/linedeal/council/member.py
+++ b/linedeal/council/member.py
@@ -90,7 +90,7 @@
             options,
         )
         self.roster: Roster = stored.get("roster", NO_ROSTER)
-        # the next roster; while it is set, this member does not vote in the current epoch any more
+        # the next roster; while it is set, this member no longer votes in the current epoch
         self.sealed: Roster | None = stored.get("sealed")
         # the only first roster that this directory ever agreed to
         self.agreed: Roster | None = stored.get("agreed")
@@ -222,7 +222,7 @@
         """Returns whether this member may vote: after a start only once it is admitted.
 
         It is admitted when all other members have stored this life, since any of them may be the one that
-        counted its last vote and can tell that this directory is an older copy. If one of them does not
+        counted its last vote and can detect that this directory is an older copy. If one of them does not
         reply, the operator can confirm the directory; then a majority is enough.
         """
         if not self.admitted and self.identity in self.roster.members:
@@ -455,8 +455,8 @@
     def in_this_epoch(self, sender: Identity, epoch: int, now: float) -> bool:
         """Returns whether a packet counts: its sender is a member and in this epoch.
 
-        Otherwise a member that is behind is sent the state of this epoch, and one that is no member is told
-        so; each at most once in half a heartbeat interval.
+        Otherwise a member that is behind is sent the state of this epoch, and one that is no member is notified of
+        that; each at most once in half a heartbeat interval.
         """
         if epoch == self.roster.epoch and sender in self.roster.members:
             return True
@@ -496,7 +496,7 @@
                 self.retire(f"replaced: the members are {', '.join(message.roster.names())}")
 
     def retire(self, reason: str) -> None:
-        """Stops voting for good."""
+        """Stops voting permanently."""
         if not self.retired:
             self.retired = reason
             self.persist(("retired", reason))
--- a/linedeal/council/records.py
+++ b/linedeal/council/records.py
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Look:
-    """Asks an acceptor for its accepted value, without a ballot: the fast path of a read."""
+    """Requests an acceptor's accepted value, without a ballot: the fast path of a read."""
 
     round: int
     key: str
@@ -169,7 +169,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Phase 1: asks an acceptor to promise that it accepts no lower ballot."""
+    """Phase 1: requests an acceptor's promise to accept no lower ballot."""
 
     round: int
     key: str
@@ -249,14 +249,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Older:
-    """Tells a member that a newer state of its directory was seen than the one it reports."""
+    """Notifies a member that a newer state of its directory was seen than the one it reports."""
 
     seen: ReplicaVersion
 
 
 @dataclass(frozen=True, slots=True)
 class Elsewhere:
-    """Tells a member that it is not in this roster, the newest one known to the sender."""
+    """Notifies a member that it is not in this roster, the newest one known to the sender."""
 
     roster: Roster
 
--- a/linedeal/council/rounds.py
+++ b/linedeal/council/rounds.py
@@ -26,8 +26,8 @@
     """The phase of an attempt."""
 
     LOOK = "reads without a ballot"
-    PREPARE = "asks for promises"
-    ACCEPT = "asks for votes"
+    PREPARE = "requests promises"
+    ACCEPT = "requests votes"
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,8 @@
     ballot: Ballot
     phase: Phase
     retry_at: float  # when the next attempt starts if no majority has replied
-    votes: tuple[tuple[str, Ballot, Value], ...] = ()  # one for each member, whatever is received twice
+    # one for each member, even if a reply is received twice
+    votes: tuple[tuple[str, Ballot, Value], ...] = ()
     proposal: Value | None = None
     outcome: Outcome | None = None  # of the request once the proposal is chosen
     max_ballot_round: int = 0  # highest `round` of any ballot seen
--- a/linedeal/council/staleness.py
+++ b/linedeal/council/staleness.py
@@ -17,7 +17,7 @@
 
     KNOWN = "the same life, nothing newer"
     NEWER = "newer: stored before the packet is processed"
-    STALE = "of an earlier life or an older copy: the packet is rejected and the sender is told"
+    STALE = "of an earlier life or an older copy: the packet is rejected and the sender is notified"
 
 
 def check_freshness(
--- a/linedeal/drmaa/agent.py
+++ b/linedeal/drmaa/agent.py
@@ -121,7 +121,7 @@
                 anyio.EndOfStream,
                 anyio.BrokenResourceError,
             ):
-                return  # a reply would reach nobody
+                return  # no peer is left to receive a reply
             async with anyio.create_task_group() as tasks:
 
                 async def watch():
--- a/linedeal/drmaa/model.py
+++ b/linedeal/drmaa/model.py
@@ -90,7 +90,7 @@
     job_id: str
     job_state: JobState
     job_sub_state: str  # the cluster's name of the stage
-    exit_status: int | None  # None if it did not exit by itself
+    exit_status: int | None  # None if it did not exit on its own
     terminating_signal: str  # always empty: hosts do not report signals
     annotation: str  # the reason for the state
     allocated_machines: tuple[str, ...]
--- a/linedeal/duties/campaign.py
+++ b/linedeal/duties/campaign.py
@@ -34,7 +34,7 @@
 class Stage(IntEnum):
     """The stage of a host that is out of service because of the campaign."""
 
-    DRAINS = 1  # accepts no new jobs while its work goes on
+    DRAINS = 1  # accepts no new jobs while its running jobs continue
     REPLACES = 2  # being replaced by the tool, until its successor has warmed up
 
 
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClusterView:
-    """Everything that the owner knows besides the plan.
+    """All data of the owner besides the plan.
 
     `unresponsive_seconds`: for how long each host out of service has not replied. `replaced`: hosts and boots
     that the tool has reported to this owner as replaced. `unexpected_boots`: by host, a boot that the tool
@@ -166,7 +166,7 @@
 
 
 def make_plan(id: str, hosts: set[str], fleet: dict[str, tuple[str, int]], bounds: Bounds) -> Plan:
-    """Returns a plan that goes cell by cell: few cells are affected at once, and each for a short time."""
+    """Returns a plan ordered by cell: few cells are affected at once, and each for a short time."""
     targets = sorted(hosts, key=lambda host: (fleet.get(host, ("", 0))[1], host))
     return Plan(id, tuple(targets), fleet, bounds)
 
@@ -231,7 +231,7 @@
     if update.stage is Stage.REPLACES:
         if (update.host, update.boot) not in view.replaced:
             if view.unexpected_boots.get(update.host, update.boot) != update.boot:
-                # the host crashed and restarted by itself: it may have new work, so it drains again
+                # the host crashed and restarted on its own: it may have new work, so it drains again
                 return HostUpdate(update.host, Stage.DRAINS, view.unexpected_boots[update.host])
             return update
         if view.serves(update.host) and state.boot != update.boot and state.age >= bounds.warm:
@@ -311,7 +311,7 @@
 def is_idle(plan: Plan, progress: Progress, view: ClusterView) -> bool:
     """Returns whether nothing is out of service and none of the waiting hosts serves.
 
-    After `Bounds.away` seconds of this the campaign goes on without the waiting hosts.
+    After `Bounds.away` seconds of this the campaign continues without the waiting hosts.
     """
     finished = {plan.targets[place] for place in (*progress.done, *progress.left)}
     return not progress.out and all(not view.serves(host) for host in plan.targets if host not in finished)
--- a/linedeal/duties/campaign_runner.py
+++ b/linedeal/duties/campaign_runner.py
@@ -19,7 +19,7 @@
 class OrderKind(Enum):
     """What is ordered, and from whom."""
 
-    DRAIN = "to the host: take nothing new; tells what it still holds"
+    DRAIN = "to the host: accept no new jobs, and report what it still holds"
     REPLACE = "to the operators' tool: replace this boot of the host"
 
 
--- a/linedeal/duties/census.py
+++ b/linedeal/duties/census.py
@@ -15,7 +15,7 @@
 MAX_REPORTS = 900  # controllers whose last report a member keeps; all of them fit into one frame
 MAX_REPORT_BYTES = 1024
 FRESH_SECONDS = 10.0  # age up to which a report counts; the controller of an older one is missing
-FORGET_SECONDS = 600.0  # age from which a silent controller is not listed as missing any more
+FORGET_SECONDS = 600.0  # age from which a silent controller is no longer listed as missing
 MAX_NAMED_MISSING = 64  # missing controllers that are listed by name; the others are only counted
 
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedReport:
-    """A report as a member of the council keeps it."""
+    """A report as stored by a member of the council."""
 
     report: Report
     age: float  # seconds since the member received it
@@ -52,7 +52,7 @@
 
 
 def merge_reports(gathered: list[list[ReceivedReport]], token: int, number: int) -> Census:
-    """Returns the census of the members' reports, with the latest report of each controller's latest life.
+    """Returns the census of the members' reports, with the last report of each controller's last incarnation.
 
     >>> one, two = Report("c1", 1, {"taken": 2}), Report("c2", 1, {"taken": 3})
     >>> gathered = [[ReceivedReport(one, 0.5), ReceivedReport(two, 30.0)], [ReceivedReport(one, 9.0)]]
@@ -101,10 +101,10 @@
         self.last: dict[str, tuple[float, Report]] = {}  # time of receipt and report, in the order of receipt
 
     def put(self, report: Report, now: float) -> None:
-        """Stores a report, unless one of a later life is known."""
+        """Stores a report, unless one of a later incarnation is known."""
         known = self.last.pop(report.controller, None)
         if known is not None and known[1].life > report.life:
-            self.last[report.controller] = known  # the new one is from an earlier life and was delayed
+            self.last[report.controller] = known  # the new one is from an earlier incarnation and was delayed
             return
         self.last[report.controller] = now, report
         if len(self.last) > MAX_REPORTS:
--- a/linedeal/duties/duty.py
+++ b/linedeal/duties/duty.py
@@ -19,7 +19,7 @@
 class Duty:
     """A duty as stored in its register."""
 
-    owner: str = ""  # name and life of a controller; empty: nobody
+    owner: str = ""  # name and incarnation of a controller; empty: no owner
     token: int = 0  # the fencing token: rises with each change of owner, and never falls
     lease: float = 0.0  # seconds, by the owner's clock, from when it sent its last renewal
     beat: int = 0  # heartbeat counter: renewals under this token
@@ -35,7 +35,7 @@
     >>> acquire(Duty(), "n1", 5.0, expired=False).token
     1
     """
-    # an owner that is not certain of its own lease any more acquires the duty anew, with a new token
+    # an owner that is no longer certain of its own lease acquires the duty anew, with a new token
     if duty.owner not in ("", who) and not expired:
         raise DutyError(f"owned by {duty.owner} with token {duty.token}")
     if duty.heir not in ("", who) and not expired:
@@ -72,7 +72,7 @@
 
 
 def revoke(duty: Duty, successor: str = "") -> Duty:
-    """Returns the duty as taken from its owner by an operator. Raises DutyError if nobody owns it.
+    """Returns the duty as taken from its owner by an operator. Raises DutyError if it has no owner.
 
     The owner's next renewal fails. What it sends until then is rejected once the next owner's first effect
     was carried out.
--- a/linedeal/duties/fence.py
+++ b/linedeal/duties/fence.py
@@ -1,4 +1,4 @@
-"""The check of fencing tokens by whoever carries out a duty's effects. Pure.
+"""The check of fencing tokens by the process that carries out a duty's effects. Pure.
 
 The highest token seen for each duty only rises, and effects with a lower one are rejected. This, and not any
 clock, prevents a former owner from doing harm. Where effects outlive the process that carries them out, the
--- a/linedeal/duties/holder.py
+++ b/linedeal/duties/holder.py
@@ -85,8 +85,8 @@
 class Holder:
     """The state machine for one duty at one controller. Calls return the requests and events that follow.
 
-    `who` is a name and life that no other process ever has. `eligible`: the duty is taken over when possible.
-    `jitter` returns numbers in [0, 1).
+    `who` is a name and incarnation that no other process ever has. `eligible`: the duty is taken over when
+    possible. `jitter` returns numbers in [0, 1).
     """
 
     def __init__(
--- a/linedeal/engine/control.py
+++ b/linedeal/engine/control.py
@@ -29,10 +29,10 @@
 class OrderAction(Enum):
     """What is done for an order."""
 
-    NOTHING = "stands so already"
-    HOLD = "taken from the module, its time stops"
+    NOTHING = "already in that state"
+    HOLD = "withdrawn from the module; its time stops"
     RELEASE = "back to the module"
-    STOP = "its host is told to stop it"
+    STOP = "its host receives an order to stop it"
     REJECT = "answered at once: it did not run, or may run again"
     WRITE_OFF = "answered at once: it may have run"
     REFUSE = "left as it is"
--- a/linedeal/engine/effects.py
+++ b/linedeal/engine/effects.py
@@ -61,14 +61,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DeleteRecord:
-    """Delete the job's record: no answer is owed, and nobody will ask for the job again."""
+    """Delete the job's record: no answer is owed, and no request for the job will follow."""
 
     job: str
 
 
 @dataclass(frozen=True, slots=True)
 class WithholdLaunch:
-    """Do not send the launch if nothing of it has been written; the link then reports `LaunchesUnsent`."""
+    """Do not send the launch, if no byte of it has been written; the link then reports `LaunchesUnsent`."""
 
     host: str
     number: int
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendStop:
-    """Tell the host to cancel or end a launch."""
+    """Send the host an order to cancel or end a launch."""
 
     host: str
     launch: LaunchId
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendProbe:
-    """Ask the host for a report."""
+    """Request a report from the host."""
 
     host: str
     number: int
@@ -225,7 +225,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Watch:
-    """Ask discovery to report changes of the list of hosts."""
+    """Subscribe to changes of the host list at discovery."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/linedeal/engine/engine.py
+++ b/linedeal/engine/engine.py
@@ -43,7 +43,7 @@
 class UnansweredJob:
     """A job for which an answer is owed."""
 
-    client: int  # link of the client that waits; 0: it has gone, and its session may come back
+    client: int  # link of the client that waits; 0: it has disconnected, and its session may reconnect
     key: str
     job: api.Job
     session: str = ""
@@ -75,9 +75,9 @@
         """Creates an engine that knows no hosts yet.
 
         `hosts_send_inventory`: each link to a host begins with the host's inventory of all that it holds.
-        Where hosts send none, nothing is asked after a start or a broken link, no launch that may have run is
-        ever proven not to have, and a launch that is cancelled is cancelled at its host too: its timeout is
-        its end.
+        Where hosts send none, no inventory is awaited after a start or a broken link, and no launch that may
+        have run can be proven not to have run. A launch that times out is then cancelled at its host too, and
+        has ended once that is done.
         """
         self.cluster, self.name, self.life, self.hosts_send_inventory = (
             cluster,
@@ -167,8 +167,8 @@
 
     def fire_timers(self) -> None:
         """Handles all timers that are due."""
-        # guards against a process that stalled: answers to its launches may lie unread beside their timeouts,
-        # and cancelling first would launch again, or write off, a job that a host accepted long ago
+        # after a stall of this process, answers to its launches may be unread while their timeouts are due:
+        # cancelling first would launch again, or write off, a job that a host accepted long ago
         late = self.now - self.timers.next_due()
         if late > STALL_THRESHOLD:
             self.log("warning", "stood still", seconds=round(late, 3))
@@ -334,7 +334,7 @@
         if known:
             self.notify_module(api.JobWithdrawn(job_id))
         if launch is not None and not self.hosts_send_inventory:
-            # cancelled at the host, which reports no more of it
+            # cancelled at the host, which sends no more reports on it
             self.finish_launch(launch, Result.STOPPED, api.Reason.UNTOLD)
 
     def handle_client_disconnected(self, event: events.ClientDisconnected) -> None:
@@ -343,7 +343,7 @@
             (self.unanswered[job] for job in self.clients.pop(event.client, ())), key=lambda owed: owed.key
         ):
             if owed.session:
-                owed.client = 0  # its session owns it: it goes on, and the answer is stored
+                owed.client = 0  # its session owns it: the job continues, and its answer is stored
             else:
                 self.handle_withdrawn(events.JobWithdrawn(event.client, owed.key))
         self.sessions.remove_client(event.client)
@@ -351,7 +351,7 @@
     def answer(
         self, job_id: str, verdict: effects.Verdict, host: str = "", launch: events.LaunchId | None = None
     ) -> None:
-        """Answers a job; there is no other way, and no answer is owed afterwards.
+        """Answers a job. Every job is answered through here, once; no answer is owed afterwards.
 
         Raises InvariantError if the job is answered already.
         """
@@ -420,11 +420,11 @@
         )
 
     def send_stop(self, launch: Launch) -> None:
-        """Tells the host to cancel or end a launch."""
+        """Sends the host an order to cancel or end a launch."""
         self.emitted.append(effects.SendStop(launch.host, launch.id))
 
     def forget(self, launch: Launch) -> None:
-        """Drops all that is kept of a launch."""
+        """Drops all records of a launch."""
         self.launches.pop(launch.id, None)
         record = self.fleet.hosts.get(launch.host)
         if record is not None:
@@ -470,7 +470,7 @@
     def answer_is_due(self, launch_id: events.LaunchId) -> bool:
         """Whether the launch's job has expired and no inventory can come that would still decide it.
 
-        Its answer then waits for nothing: one more iteration of a busy loop may make it too late.
+        Its answer is then sent without delay: one more iteration of a busy loop may make it too late.
         """
         launch = self.launches.get(launch_id)
         return launch is not None and not self.hosts_send_inventory and self.now >= launch.job.expiry
@@ -487,7 +487,7 @@
             self.cancel_launch(launch, Result.SILENT)
 
     def cancel_launch(self, launch: Launch, result: Result) -> None:
-        """Stops waiting for an answer; whatever the host still reports of the launch is late."""
+        """Stops waiting for an answer; reports of the host on the launch are late from now on."""
         if self.hosts_send_inventory:
             launch.state = State.STRAY
             del self.by_job[launch.job.id]
@@ -541,7 +541,7 @@
             self.send_stop(launch)  # withdrawn while the acceptance was on its way
 
     def handle_late_acceptance(self, launch: Launch) -> None:
-        """Handles the acceptance of a cancelled launch: it tells what the host runs, but is no answer to the
+        """Handles the acceptance of a cancelled launch: it shows what the host runs, but does not answer the
         job.
         """
         self.counts["late yes"] += 1
@@ -566,11 +566,11 @@
         """Confirms a launch; stops one that is unknown."""
         launch = self.find_launch(event.host, event.launch)
         if launch is None:
-            # nobody waits for it and nothing accounts for it
+            # no job waits for it, and its load is counted nowhere
             self.emitted.append(effects.SendStop(event.host, event.launch))
         elif not self.cluster.settings.starts_confirmed or not self.hosts_send_inventory:
-            # hosts that send no inventory accept once, as they take the job or as it runs: the settings say
-            # which
+            # hosts that send no inventory send one acceptance: when they accept the job or when it runs,
+            # depending on the settings
             launch.host_reply = event.host_reply
             if event.cancel_withdrawn and launch.state is State.RECALLED:
                 launch.state = State.OUT
@@ -720,7 +720,7 @@
             True,
             0,
         )
-        # it has started again before any list says so: it is in slow start
+        # it has restarted, and no list shows that yet: it is in slow start
         if event.boot > record.listed.boot:
             restarted = replace(
                 record.listed, boot=event.boot, age=event.age, free_cores=None, free_memory=None
@@ -735,7 +735,7 @@
             )
         for launch in list(record.launches.values()):
             if not launch.sent_on and launch.id.life == self.life:
-                continue  # it waits to be sent on this very link
+                continue  # not sent yet: it will be sent on this link
             item = held.pop(launch.id, None)
             finding = launches.reconcile(launch, item, event.boot, event.forgot)
             if item is not None:
@@ -816,7 +816,7 @@
                 if result:
                     self.cancel_launch(launch, result)
         self.lose_jobs_of_gone_hosts()
-        # without an inventory it is unknown what the host holds
+        # without an inventory, what the host holds is unknown
         if self.hosts_send_inventory and (record.launches or not record.inventory_received):
             record.attempts += 1
             self.timers.arm(self.now + reconnect_delay(record.attempts, self.random), "reconnect", event.host)
@@ -837,7 +837,7 @@
         self.finish_unsent(event.numbers, Result.UNSENT)
 
     def finish_unsent(self, numbers: tuple[int, ...], result: Result) -> None:
-        """Ends launches of which nothing has been written, so that none of them ran."""
+        """Ends launches of which no byte has been written, so that none of them ran."""
         for number in numbers:
             launch = self.launches.get(events.LaunchId(self.life, number))
             if launch is not None and launch.state is not State.HELD:
@@ -886,7 +886,7 @@
         return entry
 
     def lose_jobs_of_gone_hosts(self) -> None:
-        """Ends the jobs of hosts that are gone for good: such hosts report nothing more."""
+        """Ends the jobs of removed hosts: such hosts send no more reports."""
         for host in [
             host
             for host in self.sessions.unaccounted
@@ -936,7 +936,7 @@
     def current_offering(self, owed: UnansweredJob) -> api.Offering | None:
         """The job's offering; None if the configuration has lost it, or has changed its effect guarantee.
 
-        Such a job is launched no more, and counts as irreversible.
+        Such a job is not launched again, and counts as irreversible.
         """
         offering = self.cluster.settings.offerings.get(owed.job.offering)
         same = offering is not None and owed.guarantee in ("", recovery.guarantee(offering))
--- a/linedeal/engine/events.py
+++ b/linedeal/engine/events.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ran:
-    """How a run ended, as its host reports it: exit status (None: it did not exit by itself), usage, peak
+    """How a run ended, as its host reports it: exit status (None: it did not exit on its own), usage, peak
     memory.
     """
 
@@ -160,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusRequested:
-    """A client asks for the state of one job or, without a key, of the session's jobs that follow key
+    """A client requests the state of one job or, without a key, of the session's jobs that follow key
     `after`.
     """
 
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetRequested:
-    """An owner is done with a job. It is kept while an answer is owed or it runs."""
+    """An owner needs a job no longer. Its record is kept while an answer is owed or it runs."""
 
     session: str
     key: str
@@ -233,9 +233,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkDown:
-    """The link has ended, or was never established (link 0); nothing of the `unsent` launches has been
-    written.
-    """
+    """The link has ended, or was never established (link 0); no byte of the `unsent` launches was written."""
 
     host: str
     link: int
--- a/linedeal/engine/fleet.py
+++ b/linedeal/engine/fleet.py
@@ -1,4 +1,4 @@
-"""What the engine keeps of each host: its list entry, its link, its boot, and the launches there."""
+"""What the engine records of each host: its list entry, its link, its boot, and the launches there."""
 
 from dataclasses import dataclass, field, replace
 
@@ -31,7 +31,7 @@
         self.gone: set[str] = set()
 
     def update(self, now: float, listed: ListedHost) -> HostEntry:
-        """Applies one entry of a list; returns it as the decision module wants it.
+        """Applies one entry of a list; returns it in the form that the decision module expects.
 
         Lists state a host's age, which is converted to this controller's clock once for each boot. Computed
         from every list, the start would drift by the list's delay, and one that drifts forward reads as
--- a/linedeal/engine/launches.py
+++ b/linedeal/engine/launches.py
@@ -55,8 +55,8 @@
     """The result of a launch whose link broke after sending began. None: wait for what a new link shows.
 
     An accepted job runs on without the link. An irreversible job could only be written off; until its time is
-    up, the host may return and prove that it never ran, if hosts send inventories (`provable`). Any other job
-    is launched again at once, which does no harm.
+    up, the host may reconnect and prove that it never ran, if hosts send inventories (`provable`). Any other
+    job is launched again at once, which does no harm.
     """
     if launch.state is State.RECALLED:
         return Result.SILENT
@@ -68,7 +68,7 @@
 def reconcile(launch: Launch, held: HeldLaunch | None, boot: int, forgot: bool) -> Finding | None:
     """What a host's inventory shows of a launch that was sent on an earlier link.
 
-    The host recorded the new link's number before it sent the inventory, and ignores whatever earlier links
+    The host recorded the new link's number before it sent the inventory, and ignores what earlier links
     still deliver. So a launch that is not in the inventory is not held and never will be. With the same boot
     and nothing forgotten it never was: the launch did not run. With another boot it may have run before the
     host ended.
--- a/linedeal/engine/recovery.py
+++ b/linedeal/engine/recovery.py
@@ -19,9 +19,9 @@
 class Step(Enum):
     """What to do with a job now."""
 
-    WAIT = "a host has still to say what it holds"
+    WAIT = "the inventory of a host is still missing"
     AGAIN = "it did not run, or may run again: back to the module"
-    PLACED = "a host has it"
+    PLACED = "a host has accepted it"
     REJECT = "its time is up, and trying again does no harm"
     WRITE_OFF = "its time is up, and it may have run"
 
@@ -79,7 +79,7 @@
 class HostInventory:
     """What a host reported on the first link of this incarnation.
 
-    By then the host knows this incarnation, so it accepts nothing from an earlier one any more.
+    By then the host knows this incarnation, so it no longer accepts anything from an earlier one.
     """
 
     boot: int
@@ -134,7 +134,7 @@
 ) -> Step:
     """What to do with the job now.
 
-    `lost`: hosts that are gone for good and will never send an inventory; `listed`: hosts that the decision
+    `lost`: hosts that were removed and will never send an inventory; `listed`: hosts that the decision
     module knows; `inventory_timed_out`: jobs that may run again no longer wait for inventories.
 
     A labelled job whose launch may have run goes back to the decision module with that launch's host and
--- a/linedeal/engine/sessions.py
+++ b/linedeal/engine/sessions.py
@@ -1,7 +1,7 @@
 """The jobs that sessions own: joined by key, held, released, ended, reported and forgotten.
 
-A part of the engine, through which it acts. `control.decide_order` says what an order does; the ledger keeps
-the state of each job.
+A part of the engine, through which it acts. `control.decide_order` decides what an order does; the ledger
+holds the state of each job.
 """
 
 from linedeal import interface as api
@@ -17,7 +17,7 @@
 
 
 class Sessions:
-    """Keeps the sessions' jobs and notifies the clients that follow them."""
+    """Manages the sessions' jobs and notifies the clients that follow them."""
 
     def __init__(self, engine):
         """Starts with no jobs; `engine`: the engine that this is a part of."""
@@ -104,7 +104,7 @@
     def resume(self, entry: Entry) -> None:
         """Passes a suspended job to the module, with the time that remained."""
         engine, owed = self.engine, self.engine.unanswered[entry.job.id]
-        if engine.current_offering(owed) is None:  # held over a restart, and nothing of it can have run
+        if engine.current_offering(owed) is None:  # held over a restart; none of its launches can have run
             entry.reason = f"offering {entry.job.offering} is gone or has changed"
             engine.answer(entry.job.id, effects.Verdict.REJECTED)
             return
@@ -115,7 +115,7 @@
         engine.notify_module(api.JobArrived(entry.job, owed.uncertain_launch))
 
     def handle_start_time(self, job_id: str) -> None:
-        """Resumes a job whose start time has come."""
+        """Resumes a job at its start time."""
         entry = self.ledger.by_job.get(job_id)
         if entry is not None and entry.stage is Stage.LATER:
             entry.timer = 0
@@ -358,13 +358,13 @@
         self.engine.emitted.append(effects.DeleteRecord(entry.job.id))
 
     def retain(self, entry: Entry, elapsed: float = 0.0) -> None:
-        """Keeps an ended job for the time that the settings say, of which `elapsed` seconds have passed."""
+        """Retains an ended job for the configured time, of which `elapsed` seconds have passed."""
         engine, key = self.engine, (entry.session, entry.key)
         of_customer = self.retained.setdefault(entry.job.customer, {})
         self.retained_count += key not in of_customer
         of_customer[key] = None
         engine.timers.arm(engine.now + max(0.0, engine.cluster.journal.answers_kept - elapsed), "forget", key)
-        # by a timer, so that it happens in a step: only a step writes to the journal what is forgotten
+        # by a timer, so that it happens in a step: only a step deletes records from the journal
         if self.retained_count == MAX_ENDED_JOBS + 1:
             engine.timers.arm(engine.now, "retained limit", "")
 
--- a/linedeal/interface.py
+++ b/linedeal/interface.py
@@ -106,8 +106,8 @@
     subscription_timeout: float  # seconds without a subscription after which a controller counts as informed
     may_probe: bool
     max_launches: int  # of one job
-    slow_start_duration: float  # seconds after its start during which a host bears few launches
-    slow_start_limit: float  # launches that it bears in one window, from all controllers
+    slow_start_duration: float  # seconds after its start during which a host tolerates few launches
+    slow_start_limit: float  # launches that it tolerates in one window, from all controllers
     slow_start_window: float  # seconds
 
 
@@ -198,7 +198,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchEnded:
-    """A launch has its outcome; `closed`: the job is not owed an answer any more."""
+    """A launch has its outcome; `closed`: the job is no longer owed an answer."""
 
     job: str
     launch: int
@@ -210,7 +210,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobWithdrawn:
-    """The owner has withdrawn the job; it is not owed an answer any more."""
+    """The owner has withdrawn the job; it is no longer owed an answer."""
 
     job: str
 
@@ -241,7 +241,7 @@
     job: str
     host: str
     timeout: float
-    send_within: float = float("inf")  # seconds after which it must not be sent any more
+    send_within: float = float("inf")  # seconds after which it must no longer be sent
 
 
 @dataclass(frozen=True, slots=True)
--- a/linedeal/loop/garbage.py
+++ b/linedeal/loop/garbage.py
@@ -15,9 +15,9 @@
 CHECK_INTERVAL = 0.5  # seconds between two checks whether the loop is idle
 IDLE_LATENESS = 0.01  # seconds of lateness up to which the loop counts as idle
 MIN_INTERVAL = 10.0  # seconds between two full collections, at least
-# seconds after which a full collection runs however busy the loop is: bounds the growth of memory
+# seconds after which a full collection runs even if the loop is busy: bounds the growth of memory
 MAX_INTERVAL = 120.0
-# collections of the middle generation before the interpreter runs a full one by itself: practically never
+# collections of the middle generation before the interpreter starts a full one on its own: practically never
 DISABLED_THRESHOLD = 1 << 30
 
 
--- a/linedeal/loop/inbox.py
+++ b/linedeal/loop/inbox.py
@@ -11,7 +11,7 @@
 
 
 def is_expensive(event) -> bool:
-    """Whether the event asks for a page of job states, which costs as much as some hundred other events."""
+    """Whether the event requests a page of job states, which costs as much as some hundred other events."""
     return type(event) is events.StatusRequested and not event.key
 
 
@@ -26,7 +26,7 @@
         self.taken = anyio.Event()
 
     def put(self, event) -> None:
-        """Adds an event at once, whatever the bound. For the few senders that cannot wait."""
+        """Adds an event at once, ignoring the bound. For the few senders that cannot wait."""
         self.engine_put(event)
         self.waiting += 1
         self.arrived.set()
@@ -52,7 +52,7 @@
             await self.taken.wait()
 
     def clear(self) -> None:
-        """Called after each step: the engine has taken all events, and senders that wait may go on."""
+        """Called after each step: the engine has taken all events, and waiting senders may continue."""
         self.waiting = 0
         self.arrived = anyio.Event()
         self.taken.set()
--- a/linedeal/net/base.py
+++ b/linedeal/net/base.py
@@ -11,7 +11,7 @@
 
 
 class LinkLostError(Exception):
-    """The link has ended, or the peer sent what the protocol does not allow; the text says which."""
+    """The link has ended, or the peer sent what the protocol does not allow; the message has the reason."""
 
 
 class FrameError(Exception):
@@ -198,7 +198,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Parses `HOST:PORT`. Raises ValueError that says what is wrong.
+    """Parses `HOST:PORT`. Raises ValueError with the reason.
 
     >>> parse_address("127.0.0.1:80")
     ('127.0.0.1', 80)
--- a/linedeal/net/tcp.py
+++ b/linedeal/net/tcp.py
@@ -71,7 +71,7 @@
         try:
             enable_keepalive(stream.extra(SocketAttribute.raw_socket))
         except AttributeError:
-            # The connection was reset after it came up. With uvloop it has no socket any more, and anyio
+            # The connection was reset after it was established. With uvloop it no longer has a socket, and anyio
             # raises AttributeError when it reads the socket's addresses. That must not end the process; the
             # first read reports the reset.
             pass
@@ -128,7 +128,7 @@
         try:
             first = sock.recv(READ_SIZE)
         except OSError:
-            first = b""  # no data yet, or the connection was reset: reading its stream tells which
+            first = b""  # no data yet, or the connection was reset: reading its stream shows which
         tasks.start_soon(handle_accepted, sock, first, anyio.current_time(), handle, capacity)
 
 
--- a/linedeal/platform/descriptors.py
+++ b/linedeal/platform/descriptors.py
@@ -8,7 +8,7 @@
 import anyio
 
 RESERVED = 24  # for the process itself, the event bus and what has just been accepted
-# Of these: connections that may be accepted beyond the budget. A connection that brings work is then let in
+# Of these: connections that may be accepted beyond the budget. A connection that brings work is then accepted
 # although idle ones have used up the budget.
 ACCEPT_RESERVE = 8
 OWNERS_SHARE = 0.5  # of the budget: beyond it, idle connections of owners are closed
@@ -16,7 +16,7 @@
 
 
 class DescriptorBudget:
-    """Counts descriptors in use, makes new connections wait, and tells when idle ones have to be closed."""
+    """Counts descriptors in use, makes new connections wait, and decides when idle ones have to be closed."""
 
     def __init__(self, limit: int):
         """`limit`: descriptors that the process may have open."""
--- a/linedeal/platform/hostlink.py
+++ b/linedeal/platform/hostlink.py
@@ -72,8 +72,8 @@
         self.outbox: deque = deque()
         self.wake = anyio.Event()
         self.unanswered: dict[bytes, int] = {}  # launches without an answer, by task
-        self.unsent: set[int] = set()  # those of them of which nothing has been written
-        # Launches that are cancelled while the release that says so has not been written, by task.
+        self.unsent: set[int] = set()  # those of them of which no byte has been written
+        # Cancelled launches whose release has not been written yet, by task.
         self.cancelled: dict[bytes, int] = {}
         # Tasks whose set-up was sent here, each with the time until which it may be launched again.
         self.carried: dict[bytes, float] = {}
@@ -135,7 +135,7 @@
         self.wake = anyio.Event()
         self.scope = anyio.CancelScope()
         self.opening = False
-        # A connection was lost while jobs ran: the host repeats on the next one what it sent on that.
+        # A connection was lost while jobs ran: the host repeats on the next one what it sent on the lost one.
         self.reopen = False
         self.received_at = 0.0
         self.retry_at = 0.0  # earliest time for another connection while one is open, or for a retry
@@ -176,7 +176,7 @@
         self.wake.set()
 
     def withhold(self, number: int | None = None) -> None:
-        """Withdraws the launches of which nothing has been written, or only `number`; reports them unsent."""
+        """Withdraws the launches of which no byte has been written, or only `number`; reports them unsent."""
 
         def matches(effect):
             return isinstance(effect, effects.SendLaunch) and number in (None, effect.number)
@@ -190,7 +190,7 @@
         self.report_unsent(withheld)
 
     def report_unsent(self, launches: list[effects.SendLaunch]) -> None:
-        """Tells the engine that nothing of these launches was written, and nothing will be."""
+        """Notifies the engine that no byte of these launches was written, or will be."""
         for effect in launches:
             self.task_by_launch.pop(effect.number, None)
             for connection in self.connections:
@@ -224,8 +224,8 @@
                 self.unconfirmed[task] = connection.carried[task]
                 connection.queue(release_frame(task))
                 if connection.awaiting_since:
-                    # The host has been silent since the launch: others on the connection go on, new ones
-                    # do not use it.
+                    # The host has been silent since the launch: its other launches continue on the
+                    # connection, new ones do not use it.
                     connection.closing = True
                 return
         # The launch has ended with its connection.
@@ -239,7 +239,7 @@
             self.stopping.pop(task, None)
 
     def cancel(self) -> None:
-        """Ends all connections; the host is gone for good."""
+        """Ends all connections; the host has been removed."""
         self.scope.cancel()
 
     # -- tasks
@@ -290,7 +290,7 @@
         if self.listed.mode is Mode.GONE:
             return False  # another host may listen at its address by now
         if kept and self.connections:
-            if len(self.connections) == limit:  # one has to make way; its unanswered launches go on
+            if len(self.connections) == limit:  # one has to close; its unanswered launches continue
                 min(self.connections, key=lambda c: len(c.unanswered)).closing = True
             return len(self.connections) <= limit and now >= self.retry_at
         needed = (
@@ -449,7 +449,7 @@
         """Whether the decision to launch no longer holds.
 
         The host has restarted and is in its slow start, or drains and accepts nothing; the launch is late,
-        or the mark of a labelled job forgotten; or the owner has gone, and no one waits for the job.
+        or the mark of a labelled job forgotten; or the owner has disconnected, and the job is not awaited.
         """
         return (
             effect.boot != self.listed.boot
@@ -625,7 +625,7 @@
 
 
 def ping_frame() -> bytes:
-    """A ping that asks for no report, only whether the host answers."""
+    """A ping that requests no report; it only checks whether the host answers."""
     return host_codec.encode(Type.PING, bytes(8), host_codec.parameter(Code.CAUSE, b"\x00"))
 
 
--- a/linedeal/platform/owner_codec.py
+++ b/linedeal/platform/owner_codec.py
@@ -16,7 +16,7 @@
 FIGURE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 NAME = re.compile(rf"[!-~]{{1,{MAX_NAME_LENGTH}}}")
 
-# The causes of a release. From a host, NORMAL means that the job has ended by itself; from a controller or
+# The causes of a release. From a host, NORMAL means that the job has ended on its own; from a controller or
 # an owner, that the launch or the job is cancelled.
 NORMAL, LOST, REFUSED, STOPPED, FAILED, NOT_SENT = 16, 41, 34, 31, 47, 102
 
@@ -33,7 +33,7 @@
 
 
 class InvalidRequestError(Exception):
-    """A set-up that cannot be accepted; the text says why."""
+    """A set-up that cannot be accepted; the message has the reason."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/linedeal/platform/ownerlink.py
+++ b/linedeal/platform/ownerlink.py
@@ -96,7 +96,7 @@
                 self.queue(link, self.waiting.popleft(), True)
 
     def send(self, client: int, data: bytes, about_running: bool = False) -> None:
-        """Sends `data` to a connection; does nothing if it has gone, unless `about_running`.
+        """Sends `data` to a connection; does nothing if it has ended, unless `about_running`.
 
         A message about a running job then goes to the newest connection that has placed a job, or waits for
         one. Any other may be of a client that does not pass it on.
@@ -139,7 +139,7 @@
             self.log.debug("owner disconnected", reason=owner.reason)
 
     def disconnect(self, owner: OwnerLink, reason: str) -> None:
-        """Ends a connection and tells the engine at once, since closing the socket may take a while.
+        """Ends a connection and notifies the engine at once, since closing the socket may take a while.
 
         Lines about running jobs that were read already are still handled, and messages about running jobs
         that were queued for it go to other connections.
--- a/linedeal/platform/router.py
+++ b/linedeal/platform/router.py
@@ -30,7 +30,7 @@
 class LineResult:
     """The outcome of one line: an event for the engine, a reply, or neither.
 
-    `valid`: whether the protocol allows the line; None if that cannot be told, as for a task that has ended.
+    `valid`: whether the protocol allows the line; None if that is unknown, as for a task that has ended.
     """
 
     event: object = None
@@ -42,7 +42,7 @@
     """Translates lines of owners to engine events, and engine effects to messages for owners."""
 
     def __init__(self, settings: api.Settings):
-        """Starts without tasks; `ready` is what the reply to a ping says."""
+        """Starts without tasks; `ready` is reported in the reply to a ping."""
         self.settings = settings
         self.ready = False
         self.tasks: dict[str, Task] = {}
@@ -138,13 +138,13 @@
         return LineResult(events.JobWithdrawn(client, task.id))
 
     def outlives_connection(self, line: owner_codec.Line) -> bool:
-        """Whether a line counts although its connection has gone: lines about running jobs do."""
+        """Whether a line counts although its connection has ended: lines about running jobs do."""
         if line.type == "setup":
             return "at:" in str(line.fields.get("extras", ""))
         return line.type == "release" and line.id in self.tasks and self.tasks[line.id].running
 
     def disconnect(self, client: int) -> events.ClientDisconnected:
-        """Forgets the unanswered jobs of a connection that has gone; returns the event for the engine."""
+        """Forgets the unanswered jobs of a connection that has ended; returns the event for the engine."""
         for task in list(self.unanswered.get(client, ())):
             self.remove(self.tasks[task])
         return events.ClientDisconnected(client)
--- a/linedeal/platform/service.py
+++ b/linedeal/platform/service.py
@@ -155,10 +155,10 @@
         )
 
     def is_needed(self, since: float) -> bool:
-        """Whether the service has to go on, `since` seconds after SIGTERM.
+        """Whether the service has to keep running, `since` seconds after SIGTERM.
 
         It waits for every unanswered job, which has its answer by its expiry and would be lost with its
-        connection. Running jobs go on at their hosts; their ends are passed on for a limited time.
+        connection. Running jobs continue at their hosts; their ends are passed on for a limited time.
         """
         return bool(self.engine.unanswered) or bool(self.router.tasks) and since < MAX_RUNNING_AFTER_SIGTERM
 
--- a/linedeal/policy.py
+++ b/linedeal/policy.py
@@ -90,13 +90,13 @@
 LIST_SILENCE_MAX = 6.0  # seconds without a list after which the subscription is renewed
 EXPIRY_MARGIN = 0.03  # seconds before a job's expiry at which waiting ends
 
-# Slow start: the safety margins keep all controllers together below what a starting host bears.
+# Slow start: the margins keep the launches of all controllers together below the limit of a starting host.
 SLOW_START_SHARE = 0.8  # of the host's launch limit
 SLOW_START_WINDOW_FACTOR = 1.1  # of the window that the limit is counted over
 SLOT_SHARE = 0.1  # of that window: the length of one of this controller's send slots
 
 ACCEPTANCE_TIMEOUT_SHARE = 0.25  # share of an offering's expiry that a host may take to accept a launch
-MAX_USAGE_RATIO = 4.0  # usage beyond this multiple of a job's request says nothing about other jobs
+MAX_USAGE_RATIO = 4.0  # usage beyond this multiple of a job's request is no estimate for other jobs
 MAX_SERVICES = 4096  # services remembered; beyond that, services without a job are forgotten
 MAX_ENTRIES_PER_HOST = 2000  # this controller's launches on one host, and ejections remembered for it
 
@@ -143,7 +143,7 @@
     answer_due: float = 0.0  # after it the answer of a healthy host is late
     confirmed: bool = False
     started: bool = False
-    ended: bool = False  # answered, or no answer is owed any more
+    ended: bool = False  # answered, or no longer owed an answer
     cores: float = 0.0  # in use according to the last report
     memory: float = 0.0
 
@@ -284,7 +284,7 @@
     def schedule_waiting(self, now):
         """Scheduling pass: offers freed capacity to waiting jobs in scheduling order; returns the actions.
 
-        A pass that reaches its limit goes on in the next call, for which it sets a timer.
+        A pass that reaches its limit continues in the next call, for which it sets a timer.
         """
         self.now, self.actions = now, []
         self.choices_left = self.max_choices = min(
@@ -346,7 +346,7 @@
         return tracked
 
     def forget(self, tracked):
-        """Stops tracking a job; no effect if it is not tracked any more."""
+        """Stops tracking a job; no effect if it is no longer tracked."""
         if self.tracked_jobs.pop(tracked.job.id, None):
             tracked.service.job_count -= 1
 
@@ -368,7 +368,7 @@
             self.actions.append(api.Probe(host.entry.id))
         tracked = self.track_job(job)
         if uncertain_launch:
-            # the host is None if it has gone since; the job's repeats can then be recognized nowhere
+            # the host is None if it is no longer listed; then no host can recognize a repeat of the job
             tracked.uncertain_launch = self.hosts.get(uncertain_launch[0]), uncertain_launch[1]
         self.resume(tracked, None)
 
@@ -388,7 +388,7 @@
             )
 
     def job_withdrawn(self, job_id):
-        """Ends a job that is not owed an answer any more."""
+        """Ends a job that is no longer owed an answer."""
         tracked = self.tracked_jobs.get(job_id)
         if tracked and not tracked.ended:
             tracked.ended = True
@@ -592,7 +592,7 @@
         self.averages_due = self.now + AVERAGES_INTERVAL
         hosts = self.hosts.values()
         for host in hosts:
-            host.total_load = None  # the averages below stand in for what is not known of a host
+            host.total_load = None  # the averages below replace what is not known of a host
         own = [sum(host.own_load[i] for host in hosts if host.jobs) for i in range(4)]
         self.usage_ratio = [
             (own[i + 2] + PRIOR_WEIGHT * DEFAULT_CORES_USAGE) / (own[i] + PRIOR_WEIGHT) for i in (0, 1)
@@ -689,8 +689,8 @@
             LATE_ANSWER_MIN,
             LATE_ANSWER_FACTOR * self.offering_estimates[tracked.offering.name].answer_time,
         )
-        # an acceptance takes little time, so a host that is slow to accept is left early; cancelling a start
-        # would waste the work done
+        # an acceptance takes little time, so a launch that a host is slow to accept is cancelled early; to
+        # cancel a start would waste the work done
         if not self.settings.starts_confirmed:
             timeout = min(timeout, ACCEPTANCE_TIMEOUT_SHARE * tracked.offering.expiry)
             if tracked.offering.effect is Effect.REDOABLE:
@@ -755,7 +755,7 @@
         estimate.answer_time += ANSWER_TIME_WEIGHT * (self.now - tracked.sent_at - estimate.answer_time)
 
     def launch_ended(self, job_id, result, reason, closed):
-        """Handles the outcome of a launch; `closed`: the job is not owed an answer any more."""
+        """Handles the outcome of a launch; `closed`: the job is no longer owed an answer."""
         tracked = self.tracked_jobs.get(job_id)
         if tracked is None or tracked.host is None:
             return
@@ -788,9 +788,9 @@
         """Excludes the host for the job's offering and customer for a while.
 
         A host that fails one kind of job quickly would otherwise seem to have the most free capacity. Covers
-        any fault bound to host and offering; costs capacity if the fault ends long before the ejection does.
-        Ejections are per customer, as one customer's jobs that fail everywhere would take the hosts from all
-        others.
+        any fault of one host with one offering. Drawback: unused capacity if the fault ends long before the
+        ejection. Ejections are per customer: otherwise one customer's jobs that fail everywhere would eject
+        the hosts for all others.
         """
         name = tracked.offering.name, tracked.job.customer
         count = host.ejections.get(name, (0.0, 0))[1]
@@ -832,7 +832,7 @@
             tracked.started = True
             tracked.host.recount()
         elif metric in ("cores", "memory"):
-            # One job's usage also enters the estimates of its service and of its offering. The bounds keep a
+            # One job's usage also updates the estimates of its service and of its offering. The bounds keep a
             # tiny request, or a figure beyond the host's size, from distorting them.
             requested, value = getattr(job, metric), min(value, getattr(tracked.host.size, metric))
             setattr(tracked, metric, value)
--- a/linedeal/protocol/frames.py
+++ b/linedeal/protocol/frames.py
@@ -97,7 +97,7 @@
 def decompress(body: bytes) -> bytes:
     """The decompressed body. Raises FrameError if it is invalid or longer than MAX_ENVELOPE_BYTES.
 
-    The length is limited whatever the zstd header states: a small frame could otherwise expand to gigabytes.
+    The length is limited regardless of the zstd header: a small frame could otherwise expand to gigabytes.
     """
     try:
         with zstandard.ZstdDecompressor().stream_reader(body) as reader:
--- a/linedeal/settings/records.py
+++ b/linedeal/settings/records.py
@@ -79,7 +79,7 @@
     patience: float = 600.0
     warm: float = 10.0  # age at which a replacement counts as serving
     away: float = 120.0  # for a host that is absent, before the campaign continues without it
-    # share of launches refused, or of jobs still waiting, at which the campaign pauses by itself
+    # share of launches refused, or of jobs still waiting, at which the campaign pauses automatically
     strain: float = 0.3
 
     def within(self, others: "Bounds") -> "Bounds":
--- a/linedeal/state/journal.py
+++ b/linedeal/state/journal.py
@@ -236,9 +236,9 @@
         ).fetchone()[0]
 
     def read(self, at: float, max_wait: float, doubt: bool = False) -> JournalContents:
-        """The jobs of earlier lives, with times relative to journal time `at`, in seconds.
+        """The jobs of earlier incarnations, with times relative to journal time `at`, in seconds.
 
-        `max_wait` limits the seconds that a job may still wait, whatever a change of the clock did to its
+        `max_wait` limits the seconds that a job may still wait, even if a change of the clock altered its
         times. With `doubt` the clock was set back, and the send times of launches count as unknown. Raises
         StoreError for a record that does not match its checksum or cannot be decoded.
         """
--- a/linedeal/state/store.py
+++ b/linedeal/state/store.py
@@ -1,4 +1,4 @@
-"""A controller's state directory: its life number (a count of starts) and the last host list, in SQLite.
+"""A controller's state directory: its incarnation number (a count of starts) and last host list, in SQLite.
 
 SQLite is used because the data is small, must survive a kill at any byte, and needs a lock that keeps two
 processes from sharing one directory; a file format of our own would have to reimplement its journal.
--- a/linedeal/wirehost.py
+++ b/linedeal/wirehost.py
@@ -267,7 +267,7 @@
         message = json.loads(line)
     except ValueError:
         raise InputError(f"not JSON: {line.strip()[:80]!r}") from None
-    except RecursionError:  # json gives up on deep nesting; reported like any other invalid line
+    except RecursionError:  # raised by json for deep nesting; reported like any other invalid line
         raise InputError(f"nested too deep: {line.strip()[:40]!r}") from None
     if not isinstance(message, dict) or len(message) != 1:
         raise InputError(f"not an object with one key: {line.strip()[:80]!r}")
--- a/linedeal/wiresettings.py
+++ b/linedeal/wiresettings.py
@@ -32,7 +32,7 @@
 
 
 def report_names(setup):
-    """The interface's names for the figures of a host's report; `free_by` tells what free means."""
+    """The interface's names for the figures of a host's report; `free_by`: what counts as free."""
     used = setup.get("domain", {}).get("free_by") == "used"
     return (
         {"x0": "idle_cores", "x1": "idle_memory"} if used else {"x0": "unasked_cores", "x1": "unasked_memory"}
