--- a/linedeal/council/member.py
+++ b/linedeal/council/member.py
@@ -455,8 +455,8 @@
     def in_this_epoch(self, sender: Identity, epoch: int, now: float) -> bool:
         """Returns whether a packet counts: its sender is a member and in this epoch.
 
-        Otherwise a member that is behind is sent the state of this epoch, and one that is no member is notified of
-        that; each at most once in half a heartbeat interval.
+        Otherwise a member that is behind is sent the state of this epoch, and one that is no member is
+        notified of that; each at most once in half a heartbeat interval.
         """
         if epoch == self.roster.epoch and sender in self.roster.members:
             return True
--- a/linedeal/council/staleness.py
+++ b/linedeal/council/staleness.py
@@ -1,4 +1,4 @@
-"""Detects a member that came back with an older copy of its directory. Pure functions.
+"""Detects a member that restarted with an older copy of its directory. Pure functions.
 
 Every packet carries its sender's version, and each member stores durably the newest version it has seen of
 every other member before it acts on the packet. A directory counts its lives and its writes. A copy made
--- a/linedeal/duties/campaign_runner.py
+++ b/linedeal/duties/campaign_runner.py
@@ -70,7 +70,7 @@
         self.order_errors: dict[str, str] = {}  # why the last order about a host was not carried out
 
     def receive_census(self, census: Census, now: float) -> None:
-        """Takes a census, if it is newer.
+        """Stores a census, if it is newer.
 
         Two consecutive ones of one owner show what happened between them.
         """
@@ -154,7 +154,7 @@
         return orders
 
     def receive_reply(self, order: Order, reply: OrderReply, now: float) -> None:
-        """Takes the reply to an order."""
+        """Handles the reply to an order."""
         self.heard_at[order.host] = now
         self.order_errors[order.host] = "" if reply.done else reply.reason
         if order.kind is OrderKind.DRAIN:
--- a/linedeal/duties/holder.py
+++ b/linedeal/duties/holder.py
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """Event: this controller does not own the duty any more."""
+    """Event: this controller no longer owns the duty."""
 
     token: int
     reason: str
--- a/linedeal/engine/effects.py
+++ b/linedeal/engine/effects.py
@@ -239,6 +239,6 @@
 
 @dataclass(frozen=True, slots=True)
 class Halt:
-    """This incarnation must end: hosts accept nothing from it any more."""
+    """This incarnation must end: hosts no longer accept anything from it."""
 
     reason: str
--- a/linedeal/engine/engine.py
+++ b/linedeal/engine/engine.py
@@ -274,7 +274,7 @@
             self.clients.setdefault(owed.client, set()).add(owed.job.id)
 
     def remove_unanswered(self, job_id: str) -> UnansweredJob | None:
-        """Removes a job for which no answer is owed any more; None if there was none."""
+        """Removes a job that is no longer owed an answer, and returns it; None if there was none."""
         owed = self.unanswered.pop(job_id, None)
         if owed is not None:
             del self.keys[owed.owner, owed.key]
@@ -468,7 +468,7 @@
             self.timers.arm(launch.job.expiry, "recalled", launch.id)
 
     def answer_is_due(self, launch_id: events.LaunchId) -> bool:
-        """Whether the launch's job has expired and no inventory can come that would still decide it.
+        """Whether the launch's job has expired and no later inventory could still decide its result.
 
         Its answer is then sent without delay: one more iteration of a busy loop may make it too late.
         """
--- a/linedeal/engine/events.py
+++ b/linedeal/engine/events.py
@@ -18,7 +18,7 @@
 
 
 class Phase(Enum):
-    """How far a host has come with a launch."""
+    """The phase of a launch at its host."""
 
     QUEUED = "waits to be looked at"
     ACCEPTED = "accepted"
@@ -172,7 +172,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetRequested:
-    """An owner needs a job no longer. Its record is kept while an answer is owed or it runs."""
+    """An owner no longer needs a job. Its record is retained while an answer is owed or the job runs."""
 
     session: str
     key: str
--- a/linedeal/engine/fleet.py
+++ b/linedeal/engine/fleet.py
@@ -67,7 +67,7 @@
         return missing
 
     def removable(self) -> list[str]:
-        """Hosts that are gone and have none of this controller's launches any more."""
+        """Hosts that are gone and no longer have any of this controller's launches."""
         return sorted(host for host in self.gone if not self.hosts[host].launches)
 
     def remove(self, host: str) -> None:
--- a/linedeal/engine/ledger.py
+++ b/linedeal/engine/ledger.py
@@ -13,7 +13,7 @@
 
 
 class Stage(Enum):
-    """How far a job has come."""
+    """The stage of a job."""
 
     HELD = "its owner holds it"
     LATER = "its start time has not come"
--- a/linedeal/interface.py
+++ b/linedeal/interface.py
@@ -97,13 +97,14 @@
     controllers: int
     offerings: dict[str, Offering]
     kinds: dict[str, HostKind]
-    quotas: dict[str, float]  # cores for each customer, over all controllers
+    quotas: dict[str, float]  # cores per customer, summed over all controllers
     accepts_cores: float  # multiple of its cores up to which a host accepts requests
-    accepts_memory: float  # ... of its memory
+    accepts_memory: float  # the same for its memory
     starts_confirmed: bool  # hosts confirm a launch when the job runs, not when they accept it
-    host_price: float  # over 0: hosts in use have a price, so fewer hosts are filled fuller
-    must_subscribe: bool  # host lists come only after `Subscribe`
-    subscription_timeout: float  # seconds without a subscription after which a controller counts as informed
+    host_price: float  # over 0: each host in use costs, so jobs are packed onto fewer hosts
+    must_subscribe: bool  # host lists are sent only after `Subscribe`
+    # seconds that a subscription may be missing; after that a controller is treated as if it had a list
+    subscription_timeout: float
     may_probe: bool
     max_launches: int  # of one job
     slow_start_duration: float  # seconds after its start during which a host tolerates few launches
--- a/linedeal/net/tcp.py
+++ b/linedeal/net/tcp.py
@@ -71,9 +71,9 @@
         try:
             enable_keepalive(stream.extra(SocketAttribute.raw_socket))
         except AttributeError:
-            # The connection was reset after it was established. With uvloop it no longer has a socket, and anyio
-            # raises AttributeError when it reads the socket's addresses. That must not end the process; the
-            # first read reports the reset.
+            # The connection was reset after it was established. With uvloop it no longer has a socket, and
+            # anyio raises AttributeError when it reads the socket's addresses. That must not end the process;
+            # the first read reports the reset.
             pass
         return stream
 
--- a/linedeal/platform/hostlink.py
+++ b/linedeal/platform/hostlink.py
@@ -85,7 +85,7 @@
         self.useless_frames = 0  # answers and releases since the last that had an effect
         self.closing = False  # gets no further launches
 
-    def queue(self, effect) -> None:
+    def enqueue(self, effect) -> None:
         """Queues an effect, or the bytes of a frame."""
         self.outbox.append(effect)
         self.wake.set()
@@ -157,7 +157,7 @@
             self.report_unsent([effect])
             return
         self.task_by_launch[effect.number] = effect.work[:8]
-        self.queue(effect)
+        self.enqueue(effect)
 
     def adopt(self, effect: effects.Adopt) -> None:
         """Notes a job that runs there already, and opens a connection for it."""
@@ -168,9 +168,9 @@
     def probe(self, effect: effects.SendProbe) -> None:
         """Queues a probe, unless too many messages wait."""
         if len(self.outbox) < MAX_QUEUE:
-            self.queue(effect)
+            self.enqueue(effect)
 
-    def queue(self, effect) -> None:
+    def enqueue(self, effect) -> None:
         """Queues an effect for whichever connection `dispatch` chooses."""
         self.outbox.append(effect)
         self.wake.set()
@@ -212,7 +212,7 @@
             if task not in self.stopping:
                 self.stopping[task] = None
                 if self.connections:
-                    self.least_busy().queue(release_frame(task))
+                    self.least_busy().enqueue(release_frame(task))
                 else:
                     self.wake.set()
             return
@@ -222,7 +222,7 @@
                 del connection.unanswered[task]
                 connection.cancelled[task] = number
                 self.unconfirmed[task] = connection.carried[task]
-                connection.queue(release_frame(task))
+                connection.enqueue(release_frame(task))
                 if connection.awaiting_since:
                     # The host has been silent since the launch: its other launches continue on the
                     # connection, new ones do not use it.
@@ -285,7 +285,7 @@
                 connection.unanswered[effect.work[:8]] = effect.number
                 connection.carried[effect.work[:8]] = effect.job.expiry
                 connection.unsent.add(effect.number)
-            connection.queue(effect)
+            connection.enqueue(effect)
         self.outbox = kept
         if self.listed.mode is Mode.GONE:
             return False  # another host may listen at its address by now
@@ -332,7 +332,7 @@
         connection = Connection(self.next_number(), Link(stream, host_codec.FrameReader()), now)
         self.connections.append(connection)
         for task in self.stopping:
-            connection.queue(release_frame(task))
+            connection.enqueue(release_frame(task))
         self.tasks.start_soon(self.serve, connection)
 
     async def handle_open_failure(self, reason: str, refused: bool) -> None:
@@ -481,11 +481,11 @@
             if frame_error is not None:
                 raise LinkLostError(f"bad frame: {frame_error}")
             if connection.useless_frames > MAX_USELESS_FRAMES:
-                # Guards against a host whose frames take up the loop.
+                # Guards against a host whose frames occupy the loop.
                 raise LinkLostError(f"{connection.useless_frames} answers in a row to no launch")
 
     async def check_timeouts(self, connection: Connection) -> None:
-        """Pings a silent host. Raises LinkLostError if the connection hangs or is not needed any more."""
+        """Pings a silent host. Raises LinkLostError if the connection hangs or is no longer needed."""
         while True:
             await anyio.sleep(CHECK_INTERVAL)
             now = anyio.current_time()
@@ -500,7 +500,7 @@
             ):
                 # A healthy host that accepts a launch only when its job runs may have nothing to send yet.
                 connection.pinged = True
-                connection.queue(ping_frame())
+                connection.enqueue(ping_frame())
             if connection.awaiting_since and now - connection.awaiting_since > RESPONSE_TIMEOUT:
                 raise LinkLostError(f"nothing received for {RESPONSE_TIMEOUT:g} s")
             if len(connection.outbox) > MAX_QUEUE:
@@ -532,7 +532,7 @@
                     del tasks[task]
             if last and not connection.awaiting_since and now - self.received_at > QUIET_BEFORE_PING:
                 connection.awaiting_since, connection.pinged = now, True
-                connection.queue(ping_frame())
+                connection.enqueue(ping_frame())
 
     # -- frames of the host
 
@@ -575,7 +575,7 @@
         if frame.type == Type.RELEASE:
             return self.handle_release(connection, frame)
         if frame.type == Type.PING:
-            connection.queue(host_codec.encode(Type.PONG, task, host_codec.parameter(Code.CAUSE, b"\x01")))
+            connection.enqueue(host_codec.encode(Type.PONG, task, host_codec.parameter(Code.CAUSE, b"\x01")))
         return None  # repeated frames, unknown tasks and other types are ignored
 
     def accept_despite_cancel(self, connection: Connection, frame: host_codec.Frame):
--- a/linedeal/platform/ownerlink.py
+++ b/linedeal/platform/ownerlink.py
@@ -93,7 +93,7 @@
         if link is not None:
             link.has_placed_job = True
             while self.waiting:
-                self.queue(link, self.waiting.popleft(), True)
+                self.enqueue(link, self.waiting.popleft(), True)
 
     def send(self, client: int, data: bytes, about_running: bool = False) -> None:
         """Sends `data` to a connection; does nothing if it has ended, unless `about_running`.
@@ -107,11 +107,11 @@
         if link is None and about_running:
             link = next((link for link in reversed(self.links.values()) if link.has_placed_job), None)
         if link is not None:
-            self.queue(link, data, about_running)
+            self.enqueue(link, data, about_running)
         elif about_running:
             self.waiting.append(data)
 
-    def queue(self, owner: OwnerLink, data: bytes, about_running: bool = False) -> None:
+    def enqueue(self, owner: OwnerLink, data: bytes, about_running: bool = False) -> None:
         """Queues `data` on a connection; disconnects one that leaves too much unread."""
         owner.outbox.append((data, about_running))
         owner.unread += len(data)
@@ -249,7 +249,7 @@
             self.counts["closed on"] += 1
             raise LinkLostError(str(error)) from None
         if result.reply:
-            self.queue(owner, result.reply)
+            self.enqueue(owner, result.reply)
         if result.event is not None:
             self.inbox.put(result.event)
         owner.has_sent_valid = owner.has_sent_valid or bool(result.valid)
--- a/linedeal/platform/router.py
+++ b/linedeal/platform/router.py
@@ -76,7 +76,7 @@
     def refuse(self, task: str) -> LineResult:
         """Refuses an invalid message. Raises UnanswerableError if its id is that of a known task."""
         if task in self.tasks:
-            # The owner would take the refusal for one of that task's job, which may have been launched.
+            # The owner would mistake this for a refusal of that task's job, which may have been launched.
             raise UnanswerableError("a message that cannot be read has the id of a known task")
         return LineResult(reply=owner_codec.encode_release(task, owner_codec.REFUSED), valid=False)
 
--- a/linedeal/policy.py
+++ b/linedeal/policy.py
@@ -66,10 +66,10 @@
 
 AVERAGES_INTERVAL = 0.2  # seconds between sums over all hosts
 START_PENALTY = 0.01  # share of a host's capacity deducted for each job there that has not started yet
-LIST_LAG_ALLOWANCE = 0.06  # share of a host assumed to have come free since the last list, by others' jobs
+LIST_LAG_ALLOWANCE = 0.06  # share of a host assumed to be freed by others' jobs since the last list
 PRIOR_WEIGHT = 10.0  # requested cores, or memory, that the default usage ratio counts as
 PROBE_VALIDITY = 2.0  # seconds before list entries start to replace a usage figure from a probe
-PROBE_ROUND_MAX = 4.0  # seconds that probing every host once may take; beyond that no host is probed
+PROBE_ROUND_MAX = 4.0  # seconds that probing every host once may take; if it took longer, no host is probed
 SPARE_HOSTS = 0.75  # hosts in use beyond the load, for each controller, where hosts have a price
 
 # When a host's answer counts as late.
@@ -106,7 +106,7 @@
 
 NEVER_RAN = (Result.TURNED_AWAY, Result.UNREACHABLE, Result.UNSENT)
 
-# What a job's lifecycle yields beside the host to launch on.
+# What a job's lifecycle yields apart from the host to launch on.
 AWAIT_HOST = "room"
 RUNNING = "runs"
 
@@ -180,7 +180,7 @@
     # by offering and customer: end of the ejection, and number of errors so far
     ejections: dict = field(default_factory=dict)
     send_times: deque = field(default_factory=lambda: deque(maxlen=500))
-    programs: dict = field(default_factory=dict)  # launches of each service; 0: the host may keep its program
+    programs: dict = field(default_factory=dict)  # launches of each service; 0: program may still be there
     probed_at: float = 0.0
     name_hash: int = 0
     slot_start: float = None  # during slow start: the start of one of this controller's send slots
@@ -412,7 +412,7 @@
     # -- lifecycle of a job
 
     def lifecycle(self, tracked):
-        """Generator that takes a job through its launches; returns the answer, or None where none is owed.
+        """Generator that leads a job through its launches; returns the answer, or None where none is owed.
 
         Yields AWAIT_HOST until it is sent a host (None: the time is up), then that host to launch there,
         until it is sent the launch's result (None: confirmed), then RUNNING.
@@ -478,7 +478,7 @@
     # -- the design: filter the hosts, keep those that increase F least, take the one with most free capacity
 
     def choose_host(self, tracked):
-        """The host to launch a job on, or None if no host may take it now."""
+        """The host to launch a job on, or None if no host may run it now."""
         if not self.needs_launch(tracked):
             return None
         candidates, now, name, self.next_slot = (
@@ -506,9 +506,9 @@
             if self.next_slot < NEVER:
                 self.set_timer(self.next_slot - now, "room")
             return None
-        # Hosts with a late answer come last: they may be overloaded, hung or cut off before any launch there
-        # has failed. Also covers hosts that start slowly. Drawback: a single job that is slow to answer also
-        # diverts jobs.
+        # Hosts with a late answer are used last: they may be overloaded, hung or cut off before any launch
+        # there has failed. Also covers hosts that start slowly. Drawback: a single job that is slow to answer
+        # also diverts jobs.
         candidates = [
             candidate for candidate in candidates if candidate[2].answer_due > self.now
         ] or candidates
@@ -536,7 +536,7 @@
     def fullest_needed(self, candidates):
         """The fullest candidates that the load needs.
 
-        More of them, the more controllers choose from the same late figures.
+        With more controllers, which choose from the same delayed figures, more hosts are needed.
         """
         full = self.serving_hosts - len(candidates)
         load = full + len(candidates) - sum(map(itemgetter(1), candidates)) / MEMORY_LIMIT
@@ -557,7 +557,7 @@
         return change
 
     def free_capacity(self, request, host):
-        """Capacity left beside a job, as a share of the host; below 0 if the job does not fit.
+        """Free capacity with the job added, as a share of the host; below 0 if the job does not fit.
 
         `request` is the job's requested cores, requested memory, cores in use and memory in use.
         """
--- a/linedeal/settings/cluster.py
+++ b/linedeal/settings/cluster.py
@@ -45,7 +45,7 @@
     """A cluster file cannot be used. `lines` has one line `file: block: problem` for each problem."""
 
     def __init__(self, lines: list[str]):
-        """Takes the problems; the message is all of them, one per line."""
+        """`lines`: the problems; the message has all of them, one per line."""
         super().__init__("\n".join(lines))
         self.lines = lines
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -682,7 +682,7 @@
         await g.wait_until(2, lambda: host.received(Type.SETUP))
         (connection,) = g.service.hosts["h1"].connections
         delay_writes(connection.link, 30, lambda data: data[2] == Type.PING)
-        connection.queue(host_codec.encode(Type.PING, bytes(8), host_codec.parameter(Code.CAUSE, b"\x00")))
+        connection.enqueue(host_codec.encode(Type.PING, bytes(8), host_codec.parameter(Code.CAUSE, b"\x00")))
         await g.wait_until(4, lambda: connection.cancelled)
         await host.streams[0].send(answer(bytes.fromhex(A)))
         await owner.wait_for("answer", A)
