--- a/linedeal/controller/runtime.py
+++ b/linedeal/controller/runtime.py
@@ -211,7 +211,7 @@
             self.engine.put(events.HostListReceived(hosts, True, version, remembered=True))
 
     def recover(self) -> None:
-        """Passes the jobs of earlier lives from the journal to the engine. Raises StoreError."""
+        """Passes the jobs of earlier incarnations from the journal to the engine. Raises StoreError."""
         max_wait = max(offering.expiry for offering in self.setup.cluster.settings.offerings.values())
         contents = self.journal.read(self.journal_time(), max_wait, self.clock.doubt)
         if self.clock.doubt:
--- a/linedeal/duties/campaign.py
+++ b/linedeal/duties/campaign.py
@@ -1,6 +1,6 @@
 """A campaign: a rolling replacement of hosts, a few at a time. Pure functions that decide the next steps.
 
-A host waits its turn, drains until its work is over or its drain times out, is replaced by the operators'
+A host waits, drains until its work is over or its drain times out, is replaced by the operators'
 tool, and counts as out of service until its successor serves and has warmed up. Each step is stored in the
 council before its order is sent, so the next owner of the duty knows every order that may still be under way.
 Orders name the boot that they are meant for and can be repeated at any time.
@@ -16,7 +16,7 @@
 from linedeal.settings.records import Bounds
 
 PLAN_KEY = "campaign/plan"  # the register that holds the plan, written by operators only
-MAX_PLAN_BYTES = 8192  # the most that a register holds
+MAX_PLAN_BYTES = 8192  # upper limit of what a register holds
 RESERVED_PROGRESS_BYTES = 2048  # of the progress, for everything but the list of finished hosts
 MAX_REASON_CHARACTERS = 200  # of the reason why no further host is started
 RESUME_FACTOR = 0.75  # of the share at which the campaign pauses itself: below that it resumes
--- a/linedeal/duties/campaign_runner.py
+++ b/linedeal/duties/campaign_runner.py
@@ -80,7 +80,7 @@
     def step(
         self, plan: Plan, own_bounds: Bounds, hosts: dict[str, HostState], list_age: float, now: float
     ) -> Progress | None:
-        """Returns the progress that has to be stored next, or None if the stored one is still right."""
+        """Returns the progress that has to be stored next, or None if the stored one is up to date."""
         elapsed = now - self.stored_at
         progress = self.stored if self.stored.id == plan.id else Progress(plan.id)
         aged = replace(
@@ -166,5 +166,5 @@
 
 
 def without_times(progress: Progress) -> Progress:
-    """Returns the progress without the times spent, which change by themselves."""
+    """Returns the progress without the times spent, which change without any event."""
     return replace(progress, out=tuple(replace(update, spent=0.0) for update in progress.out))
--- a/linedeal/duties/duty.py
+++ b/linedeal/duties/duty.py
@@ -35,7 +35,7 @@
     >>> acquire(Duty(), "n1", 5.0, expired=False).token
     1
     """
-    # an owner that is no longer certain of its own lease acquires the duty anew, with a new token
+    # an owner that is no longer certain of its own lease acquires the duty again, with a new token
     if duty.owner not in ("", who) and not expired:
         raise DutyError(f"owned by {duty.owner} with token {duty.token}")
     if duty.heir not in ("", who) and not expired:
@@ -63,7 +63,7 @@
 
 
 def release(duty: Duty, who: str, token: int, successor: str = "") -> Duty:
-    """Returns the duty as given up by its owner, for anybody or for a successor.
+    """Returns the duty as released by its owner, to any controller or to a successor.
 
     Raises DutyError if `who` does not own it with this token.
     """
--- a/linedeal/duties/holder.py
+++ b/linedeal/duties/holder.py
@@ -111,7 +111,7 @@
         self.pending: Pending | None = None
         self.reading: Request | None = None
         self.unsaved_progress: bytes | None = None
-        self.resigning_to: str | None = None  # the successor, empty for anybody; None: it does not resign
+        self.resigning_to: str | None = None  # the successor, empty for any; None: it does not resign
         self.last_number = 0
         self.output: list = []
 
--- a/linedeal/net/base.py
+++ b/linedeal/net/base.py
@@ -54,7 +54,7 @@
         ...
 
     def release(self) -> None:
-        """Gives back what `reserve` counted."""
+        """Releases what `reserve` counted."""
         ...
 
 
--- a/linedeal/net/tcp.py
+++ b/linedeal/net/tcp.py
@@ -12,7 +12,7 @@
 ACCEPT_RETRY_DELAY = 0.05  # seconds to wait after a connection that could not be accepted
 READ_SIZE = 65536  # bytes of one read
 # Detects a peer that has vanished without closing (power or network lost); its connection would otherwise
-# stay open, and be counted, for ever. Seconds of silence before the first probe, seconds between probes,
+# stay open, and be counted, forever. Seconds of silence before the first probe, seconds between probes,
 # number of unanswered probes, and milliseconds that sent data may stay unacknowledged. The system of a slow
 # peer still answers.
 KEEPALIVE_OPTIONS = {"TCP_KEEPIDLE": 60, "TCP_KEEPINTVL": 20, "TCP_KEEPCNT": 3, "TCP_USER_TIMEOUT": 120_000}
--- a/linedeal/platform/bus.py
+++ b/linedeal/platform/bus.py
@@ -101,7 +101,7 @@
         if batch.offset > self.offset:
             if requested_from:  # to accept this offset could skip events that are never sent again
                 raise BusProtocolError(f"nothing of the events from {self.offset} to {batch.offset}")
-            self.offset = batch.offset  # read from the start, so there is no more to be had
+            self.offset = batch.offset  # read from the start, so there is nothing more to read
         return received
 
 
--- a/linedeal/platform/descriptors.py
+++ b/linedeal/platform/descriptors.py
@@ -1,6 +1,6 @@
 """One budget of file descriptors for all connections of the process.
 
-Connections of owners and connections to hosts share the budget. A reserve is kept back for the listener,
+Connections of owners and connections to hosts share the budget. A reserve is held for the listener,
 the event bus, the interpreter, and connections accepted before an idle one has closed. An idle owner's
 connection is closed when a connection to a host needs its descriptor; one with an unanswered job never is.
 """
--- a/linedeal/platform/ownerlink.py
+++ b/linedeal/platform/ownerlink.py
@@ -278,7 +278,7 @@
         await anyio.sleep(INVALID_LINE_PAUSE)
 
     async def check_timeouts(self) -> None:
-        """Closes connections that send nothing of use, or begin a line that does not end."""
+        """Closes connections that send nothing useful, or begin a line that does not end."""
         while True:
             await anyio.sleep(CHECK_INTERVAL)
             now = anyio.current_time()
--- a/linedeal/platform/service.py
+++ b/linedeal/platform/service.py
@@ -38,7 +38,7 @@
         self.lines_logged: dict[str, int] = {}  # by event, since the last "at work" line
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
-        """Runs until a SIGTERM or SIGINT has been obeyed; reports the address that it listens on."""
+        """Runs until shut down by SIGTERM or SIGINT; reports the address that it listens on."""
         setup = self.setup
         numbers = itertools.count(1)
         self.next_number = lambda: next(numbers)
@@ -83,7 +83,7 @@
                 self.tasks.cancel_scope.cancel()
 
     def load_known_hosts(self) -> None:
-        """Gives the engine the hosts of the configuration file, so that it can start without the bus."""
+        """Passes the engine the hosts of the configuration file, so that it can start without the bus."""
         try:
             for event in self.feed.accept(self.setup.known, time.time()):
                 self.engine.put(event)
--- a/linedeal/state/journal.py
+++ b/linedeal/state/journal.py
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JournalContents:
-    """The jobs of earlier lives: those without an answer, and those with an answer that is still stored."""
+    """The jobs of earlier incarnations: those without an answer, and those with a stored answer."""
 
     open: tuple[OpenJob, ...]
     answers: tuple[StoredAnswer, ...]
--- a/linedeal/state/store.py
+++ b/linedeal/state/store.py
@@ -99,7 +99,7 @@
             raise StoreError(f"{self.path}: {name} cannot be stored: {error}") from None
 
     def next_life(self) -> int:
-        """A number larger than that of all earlier lives (starts); it is on disk when this returns."""
+        """A number larger than that of all earlier incarnations (starts); it is on disk when this returns."""
         life = (self.get("life", int) or 0) + 1
         self.put("life", life)
         return life
