--- a/linedeal/duties/campaign_runner.py
+++ b/linedeal/duties/campaign_runner.py
@@ -19,7 +19,7 @@
 class OrderKind(Enum):
     """What is ordered, and from whom."""
 
-    DRAIN = "to the host: take nothing new; tells what it still holds"
+    DRAIN = "to the host: accept no new jobs, and report what it still holds"
     REPLACE = "to the operators' tool: replace this boot of the host"
 
 
@@ -70,7 +70,7 @@
         self.order_errors: dict[str, str] = {}  # why the last order about a host was not carried out
 
     def receive_census(self, census: Census, now: float) -> None:
-        """Takes a census, if it is newer.
+        """Stores a census, if it is newer.
 
         Two consecutive ones of one owner show what happened between them.
         """
@@ -80,7 +80,7 @@
     def step(
         self, plan: Plan, own_bounds: Bounds, hosts: dict[str, HostState], list_age: float, now: float
     ) -> Progress | None:
-        """Returns the progress that has to be stored next, or None if the stored one is still right."""
+        """Returns the progress that has to be stored next, or None if the stored one is up to date."""
         elapsed = now - self.stored_at
         progress = self.stored if self.stored.id == plan.id else Progress(plan.id)
         aged = replace(
@@ -154,7 +154,7 @@
         return orders
 
     def receive_reply(self, order: Order, reply: OrderReply, now: float) -> None:
-        """Takes the reply to an order."""
+        """Handles the reply to an order."""
         self.heard_at[order.host] = now
         self.order_errors[order.host] = "" if reply.done else reply.reason
         if order.kind is OrderKind.DRAIN:
@@ -166,5 +166,5 @@
 
 
 def without_times(progress: Progress) -> Progress:
-    """Returns the progress without the times spent, which change by themselves."""
+    """Returns the progress without the times spent, which change without any event."""
     return replace(progress, out=tuple(replace(update, spent=0.0) for update in progress.out))
--- a/linedeal/duties/holder.py
+++ b/linedeal/duties/holder.py
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Lost:
-    """Event: this controller does not own the duty any more."""
+    """Event: this controller no longer owns the duty."""
 
     token: int
     reason: str
@@ -85,8 +85,8 @@
 class Holder:
     """The state machine for one duty at one controller. Calls return the requests and events that follow.
 
-    `who` is a name and life that no other process ever has. `eligible`: the duty is taken over when possible.
-    `jitter` returns numbers in [0, 1).
+    `who` is a name and incarnation that no other process ever has. `eligible`: the duty is taken over when
+    possible. `jitter` returns numbers in [0, 1).
     """
 
     def __init__(
@@ -111,7 +111,7 @@
         self.pending: Pending | None = None
         self.reading: Request | None = None
         self.unsaved_progress: bytes | None = None
-        self.resigning_to: str | None = None  # the successor, empty for anybody; None: it does not resign
+        self.resigning_to: str | None = None  # the successor, empty for any; None: it does not resign
         self.last_number = 0
         self.output: list = []
 
--- a/linedeal/engine/fleet.py
+++ b/linedeal/engine/fleet.py
@@ -1,4 +1,4 @@
-"""What the engine keeps of each host: its list entry, its link, its boot, and the launches there."""
+"""What the engine records of each host: its list entry, its link, its boot, and the launches there."""
 
 from dataclasses import dataclass, field, replace
 
@@ -31,7 +31,7 @@
         self.gone: set[str] = set()
 
     def update(self, now: float, listed: ListedHost) -> HostEntry:
-        """Applies one entry of a list; returns it as the decision module wants it.
+        """Applies one entry of a list; returns it in the form that the decision module expects.
 
         Lists state a host's age, which is converted to this controller's clock once for each boot. Computed
         from every list, the start would drift by the list's delay, and one that drifts forward reads as
@@ -42,9 +42,8 @@
             record = self.hosts[listed.id] = HostRecord(listed, now - listed.age)
         elif listed.boot > record.listed.boot:
             record.booted = max(now - listed.age, record.booted)
-        elif (
-            listed.boot < record.listed.boot
-        ):  # an old entry that arrived after a newer one says nothing of boots
+        elif listed.boot < record.listed.boot:
+            # an old entry that arrived after a newer one: the newer boot and its age are kept
             listed = replace(listed, boot=record.listed.boot, age=record.listed.age)
         record.listed = listed
         (self.gone.add if listed.mode is Mode.GONE else self.gone.discard)(listed.id)
@@ -68,7 +67,7 @@
         return missing
 
     def removable(self) -> list[str]:
-        """Hosts that are gone and have none of this controller's launches any more."""
+        """Hosts that are gone and no longer have any of this controller's launches."""
         return sorted(host for host in self.gone if not self.hosts[host].launches)
 
     def remove(self, host: str) -> None:
--- a/linedeal/interface.py
+++ b/linedeal/interface.py
@@ -97,17 +97,18 @@
     controllers: int
     offerings: dict[str, Offering]
     kinds: dict[str, HostKind]
-    quotas: dict[str, float]  # cores for each customer, over all controllers
+    quotas: dict[str, float]  # cores per customer, summed over all controllers
     accepts_cores: float  # multiple of its cores up to which a host accepts requests
-    accepts_memory: float  # ... of its memory
+    accepts_memory: float  # the same for its memory
     starts_confirmed: bool  # hosts confirm a launch when the job runs, not when they accept it
-    host_price: float  # over 0: hosts in use have a price, so fewer hosts are filled fuller
-    must_subscribe: bool  # host lists come only after `Subscribe`
-    subscription_timeout: float  # seconds without a subscription after which a controller counts as informed
+    host_price: float  # over 0: each host in use costs, so jobs are packed onto fewer hosts
+    must_subscribe: bool  # host lists are sent only after `Subscribe`
+    # seconds that a subscription may be missing; after that a controller is treated as if it had a list
+    subscription_timeout: float
     may_probe: bool
     max_launches: int  # of one job
-    slow_start_duration: float  # seconds after its start during which a host bears few launches
-    slow_start_limit: float  # launches that it bears in one window, from all controllers
+    slow_start_duration: float  # seconds after its start during which a host tolerates few launches
+    slow_start_limit: float  # launches that it tolerates in one window, from all controllers
     slow_start_window: float  # seconds
 
 
@@ -198,7 +199,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LaunchEnded:
-    """A launch has its outcome; `closed`: the job is not owed an answer any more."""
+    """A launch has its outcome; `closed`: the job is no longer owed an answer."""
 
     job: str
     launch: int
@@ -210,7 +211,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobWithdrawn:
-    """The owner has withdrawn the job; it is not owed an answer any more."""
+    """The owner has withdrawn the job; it is no longer owed an answer."""
 
     job: str
 
@@ -241,7 +242,7 @@
     job: str
     host: str
     timeout: float
-    send_within: float = float("inf")  # seconds after which it must not be sent any more
+    send_within: float = float("inf")  # seconds after which it must no longer be sent
 
 
 @dataclass(frozen=True, slots=True)
--- a/linedeal/net/tcp.py
+++ b/linedeal/net/tcp.py
@@ -12,7 +12,7 @@
 ACCEPT_RETRY_DELAY = 0.05  # seconds to wait after a connection that could not be accepted
 READ_SIZE = 65536  # bytes of one read
 # Detects a peer that has vanished without closing (power or network lost); its connection would otherwise
-# stay open, and be counted, for ever. Seconds of silence before the first probe, seconds between probes,
+# stay open, and be counted, forever. Seconds of silence before the first probe, seconds between probes,
 # number of unanswered probes, and milliseconds that sent data may stay unacknowledged. The system of a slow
 # peer still answers.
 KEEPALIVE_OPTIONS = {"TCP_KEEPIDLE": 60, "TCP_KEEPINTVL": 20, "TCP_KEEPCNT": 3, "TCP_USER_TIMEOUT": 120_000}
@@ -71,9 +71,9 @@
         try:
             enable_keepalive(stream.extra(SocketAttribute.raw_socket))
         except AttributeError:
-            # The connection was reset after it came up. With uvloop it has no socket any more, and anyio
-            # raises AttributeError when it reads the socket's addresses. That must not end the process; the
-            # first read reports the reset.
+            # The connection was reset after it was established. With uvloop it no longer has a socket, and
+            # anyio raises AttributeError when it reads the socket's addresses. That must not end the process;
+            # the first read reports the reset.
             pass
         return stream
 
@@ -128,7 +128,7 @@
         try:
             first = sock.recv(READ_SIZE)
         except OSError:
-            first = b""  # no data yet, or the connection was reset: reading its stream tells which
+            first = b""  # no data yet, or the connection was reset: reading its stream shows which
         tasks.start_soon(handle_accepted, sock, first, anyio.current_time(), handle, capacity)
 
 
--- a/linedeal/platform/descriptors.py
+++ b/linedeal/platform/descriptors.py
@@ -1,6 +1,6 @@
 """One budget of file descriptors for all connections of the process.
 
-Connections of owners and connections to hosts share the budget. A reserve is kept back for the listener,
+Connections of owners and connections to hosts share the budget. A reserve is held for the listener,
 the event bus, the interpreter, and connections accepted before an idle one has closed. An idle owner's
 connection is closed when a connection to a host needs its descriptor; one with an unanswered job never is.
 """
@@ -8,7 +8,7 @@
 import anyio
 
 RESERVED = 24  # for the process itself, the event bus and what has just been accepted
-# Of these: connections that may be accepted beyond the budget. A connection that brings work is then let in
+# Of these: connections that may be accepted beyond the budget. A connection that brings work is then accepted
 # although idle ones have used up the budget.
 ACCEPT_RESERVE = 8
 OWNERS_SHARE = 0.5  # of the budget: beyond it, idle connections of owners are closed
@@ -16,7 +16,7 @@
 
 
 class DescriptorBudget:
-    """Counts descriptors in use, makes new connections wait, and tells when idle ones have to be closed."""
+    """Counts descriptors in use, makes new connections wait, and decides when idle ones have to be closed."""
 
     def __init__(self, limit: int):
         """`limit`: descriptors that the process may have open."""
--- a/linedeal/platform/hostlink.py
+++ b/linedeal/platform/hostlink.py
@@ -72,8 +72,8 @@
         self.outbox: deque = deque()
         self.wake = anyio.Event()
         self.unanswered: dict[bytes, int] = {}  # launches without an answer, by task
-        self.unsent: set[int] = set()  # those of them of which nothing has been written
-        # Launches that are cancelled while the release that says so has not been written, by task.
+        self.unsent: set[int] = set()  # those of them of which no byte has been written
+        # Cancelled launches whose release has not been written yet, by task.
         self.cancelled: dict[bytes, int] = {}
         # Tasks whose set-up was sent here, each with the time until which it may be launched again.
         self.carried: dict[bytes, float] = {}
@@ -85,7 +85,7 @@
         self.useless_frames = 0  # answers and releases since the last that had an effect
         self.closing = False  # gets no further launches
 
-    def queue(self, effect) -> None:
+    def enqueue(self, effect) -> None:
         """Queues an effect, or the bytes of a frame."""
         self.outbox.append(effect)
         self.wake.set()
@@ -135,7 +135,7 @@
         self.wake = anyio.Event()
         self.scope = anyio.CancelScope()
         self.opening = False
-        # A connection was lost while jobs ran: the host repeats on the next one what it sent on that.
+        # A connection was lost while jobs ran: the host repeats on the next one what it sent on the lost one.
         self.reopen = False
         self.received_at = 0.0
         self.retry_at = 0.0  # earliest time for another connection while one is open, or for a retry
@@ -143,7 +143,7 @@
 
     # -- for the engine's effects
 
-    def relist(self, listed: events.ListedHost) -> None:
+    def update_host(self, listed: events.ListedHost) -> None:
         """Applies a newer listing. Unsent launches are withheld from a host that drains or is gone."""
         if (listed.mode, listed.boot) != (self.listed.mode, self.listed.boot):
             self.log.info("host changed", host=listed.id, mode=listed.mode.name, age=round(listed.age, 1))
@@ -157,7 +157,7 @@
             self.report_unsent([effect])
             return
         self.task_by_launch[effect.number] = effect.work[:8]
-        self.queue(effect)
+        self.enqueue(effect)
 
     def adopt(self, effect: effects.Adopt) -> None:
         """Notes a job that runs there already, and opens a connection for it."""
@@ -168,15 +168,15 @@
     def probe(self, effect: effects.SendProbe) -> None:
         """Queues a probe, unless too many messages wait."""
         if len(self.outbox) < MAX_QUEUE:
-            self.queue(effect)
+            self.enqueue(effect)
 
-    def queue(self, effect) -> None:
+    def enqueue(self, effect) -> None:
         """Queues an effect for whichever connection `dispatch` chooses."""
         self.outbox.append(effect)
         self.wake.set()
 
     def withhold(self, number: int | None = None) -> None:
-        """Withdraws the launches of which nothing has been written, or only `number`; reports them unsent."""
+        """Withdraws the launches of which no byte has been written, or only `number`; reports them unsent."""
 
         def matches(effect):
             return isinstance(effect, effects.SendLaunch) and number in (None, effect.number)
@@ -190,7 +190,7 @@
         self.report_unsent(withheld)
 
     def report_unsent(self, launches: list[effects.SendLaunch]) -> None:
-        """Tells the engine that nothing of these launches was written, and nothing will be."""
+        """Notifies the engine that no byte of these launches was written, or will be."""
         for effect in launches:
             self.task_by_launch.pop(effect.number, None)
             for connection in self.connections:
@@ -212,7 +212,7 @@
             if task not in self.stopping:
                 self.stopping[task] = None
                 if self.connections:
-                    self.least_busy().queue(release_frame(task))
+                    self.least_busy().enqueue(release_frame(task))
                 else:
                     self.wake.set()
             return
@@ -222,10 +222,10 @@
                 del connection.unanswered[task]
                 connection.cancelled[task] = number
                 self.unconfirmed[task] = connection.carried[task]
-                connection.queue(release_frame(task))
+                connection.enqueue(release_frame(task))
                 if connection.awaiting_since:
-                    # The host has been silent since the launch: others on the connection go on, new ones
-                    # do not use it.
+                    # The host has been silent since the launch: its other launches continue on the
+                    # connection, new ones do not use it.
                     connection.closing = True
                 return
         # The launch has ended with its connection.
@@ -239,7 +239,7 @@
             self.stopping.pop(task, None)
 
     def cancel(self) -> None:
-        """Ends all connections; the host is gone for good."""
+        """Ends all connections; the host has been removed."""
         self.scope.cancel()
 
     # -- tasks
@@ -285,12 +285,12 @@
                 connection.unanswered[effect.work[:8]] = effect.number
                 connection.carried[effect.work[:8]] = effect.job.expiry
                 connection.unsent.add(effect.number)
-            connection.queue(effect)
+            connection.enqueue(effect)
         self.outbox = kept
         if self.listed.mode is Mode.GONE:
             return False  # another host may listen at its address by now
         if kept and self.connections:
-            if len(self.connections) == limit:  # one has to make way; its unanswered launches go on
+            if len(self.connections) == limit:  # one has to close; its unanswered launches continue
                 min(self.connections, key=lambda c: len(c.unanswered)).closing = True
             return len(self.connections) <= limit and now >= self.retry_at
         needed = (
@@ -332,7 +332,7 @@
         connection = Connection(self.next_number(), Link(stream, host_codec.FrameReader()), now)
         self.connections.append(connection)
         for task in self.stopping:
-            connection.queue(release_frame(task))
+            connection.enqueue(release_frame(task))
         self.tasks.start_soon(self.serve, connection)
 
     async def handle_open_failure(self, reason: str, refused: bool) -> None:
@@ -449,7 +449,7 @@
         """Whether the decision to launch no longer holds.
 
         The host has restarted and is in its slow start, or drains and accepts nothing; the launch is late,
-        or the mark of a labelled job forgotten; or the owner has gone, and no one waits for the job.
+        or the mark of a labelled job forgotten; or the owner has disconnected, and the job is not awaited.
         """
         return (
             effect.boot != self.listed.boot
@@ -481,11 +481,11 @@
             if frame_error is not None:
                 raise LinkLostError(f"bad frame: {frame_error}")
             if connection.useless_frames > MAX_USELESS_FRAMES:
-                # Guards against a host whose frames take up the loop.
+                # Guards against a host whose frames occupy the loop.
                 raise LinkLostError(f"{connection.useless_frames} answers in a row to no launch")
 
     async def check_timeouts(self, connection: Connection) -> None:
-        """Pings a silent host. Raises LinkLostError if the connection hangs or is not needed any more."""
+        """Pings a silent host. Raises LinkLostError if the connection hangs or is no longer needed."""
         while True:
             await anyio.sleep(CHECK_INTERVAL)
             now = anyio.current_time()
@@ -500,7 +500,7 @@
             ):
                 # A healthy host that accepts a launch only when its job runs may have nothing to send yet.
                 connection.pinged = True
-                connection.queue(ping_frame())
+                connection.enqueue(ping_frame())
             if connection.awaiting_since and now - connection.awaiting_since > RESPONSE_TIMEOUT:
                 raise LinkLostError(f"nothing received for {RESPONSE_TIMEOUT:g} s")
             if len(connection.outbox) > MAX_QUEUE:
@@ -532,7 +532,7 @@
                     del tasks[task]
             if last and not connection.awaiting_since and now - self.received_at > QUIET_BEFORE_PING:
                 connection.awaiting_since, connection.pinged = now, True
-                connection.queue(ping_frame())
+                connection.enqueue(ping_frame())
 
     # -- frames of the host
 
@@ -575,7 +575,7 @@
         if frame.type == Type.RELEASE:
             return self.handle_release(connection, frame)
         if frame.type == Type.PING:
-            connection.queue(host_codec.encode(Type.PONG, task, host_codec.parameter(Code.CAUSE, b"\x01")))
+            connection.enqueue(host_codec.encode(Type.PONG, task, host_codec.parameter(Code.CAUSE, b"\x01")))
         return None  # repeated frames, unknown tasks and other types are ignored
 
     def accept_despite_cancel(self, connection: Connection, frame: host_codec.Frame):
@@ -625,7 +625,7 @@
 
 
 def ping_frame() -> bytes:
-    """A ping that asks for no report, only whether the host answers."""
+    """A ping that requests no report; it only checks whether the host answers."""
     return host_codec.encode(Type.PING, bytes(8), host_codec.parameter(Code.CAUSE, b"\x00"))
 
 
--- a/linedeal/platform/ownerlink.py
+++ b/linedeal/platform/ownerlink.py
@@ -93,10 +93,10 @@
         if link is not None:
             link.has_placed_job = True
             while self.waiting:
-                self.queue(link, self.waiting.popleft(), True)
+                self.enqueue(link, self.waiting.popleft(), True)
 
     def send(self, client: int, data: bytes, about_running: bool = False) -> None:
-        """Sends `data` to a connection; does nothing if it has gone, unless `about_running`.
+        """Sends `data` to a connection; does nothing if it has ended, unless `about_running`.
 
         A message about a running job then goes to the newest connection that has placed a job, or waits for
         one. Any other may be of a client that does not pass it on.
@@ -107,11 +107,11 @@
         if link is None and about_running:
             link = next((link for link in reversed(self.links.values()) if link.has_placed_job), None)
         if link is not None:
-            self.queue(link, data, about_running)
+            self.enqueue(link, data, about_running)
         elif about_running:
             self.waiting.append(data)
 
-    def queue(self, owner: OwnerLink, data: bytes, about_running: bool = False) -> None:
+    def enqueue(self, owner: OwnerLink, data: bytes, about_running: bool = False) -> None:
         """Queues `data` on a connection; disconnects one that leaves too much unread."""
         owner.outbox.append((data, about_running))
         owner.unread += len(data)
@@ -139,7 +139,7 @@
             self.log.debug("owner disconnected", reason=owner.reason)
 
     def disconnect(self, owner: OwnerLink, reason: str) -> None:
-        """Ends a connection and tells the engine at once, since closing the socket may take a while.
+        """Ends a connection and notifies the engine at once, since closing the socket may take a while.
 
         Lines about running jobs that were read already are still handled, and messages about running jobs
         that were queued for it go to other connections.
@@ -249,7 +249,7 @@
             self.counts["closed on"] += 1
             raise LinkLostError(str(error)) from None
         if result.reply:
-            self.queue(owner, result.reply)
+            self.enqueue(owner, result.reply)
         if result.event is not None:
             self.inbox.put(result.event)
         owner.has_sent_valid = owner.has_sent_valid or bool(result.valid)
@@ -278,7 +278,7 @@
         await anyio.sleep(INVALID_LINE_PAUSE)
 
     async def check_timeouts(self) -> None:
-        """Closes connections that send nothing of use, or begin a line that does not end."""
+        """Closes connections that send nothing useful, or begin a line that does not end."""
         while True:
             await anyio.sleep(CHECK_INTERVAL)
             now = anyio.current_time()
--- a/linedeal/platform/router.py
+++ b/linedeal/platform/router.py
@@ -30,7 +30,7 @@
 class LineResult:
     """The outcome of one line: an event for the engine, a reply, or neither.
 
-    `valid`: whether the protocol allows the line; None if that cannot be told, as for a task that has ended.
+    `valid`: whether the protocol allows the line; None if that is unknown, as for a task that has ended.
     """
 
     event: object = None
@@ -42,7 +42,7 @@
     """Translates lines of owners to engine events, and engine effects to messages for owners."""
 
     def __init__(self, settings: api.Settings):
-        """Starts without tasks; `ready` is what the reply to a ping says."""
+        """Starts without tasks; `ready` is reported in the reply to a ping."""
         self.settings = settings
         self.ready = False
         self.tasks: dict[str, Task] = {}
@@ -76,7 +76,7 @@
     def refuse(self, task: str) -> LineResult:
         """Refuses an invalid message. Raises UnanswerableError if its id is that of a known task."""
         if task in self.tasks:
-            # The owner would take the refusal for one of that task's job, which may have been launched.
+            # The owner would mistake this for a refusal of that task's job, which may have been launched.
             raise UnanswerableError("a message that cannot be read has the id of a known task")
         return LineResult(reply=owner_codec.encode_release(task, owner_codec.REFUSED), valid=False)
 
@@ -89,9 +89,8 @@
             return self.refuse(line.id)
         if known is not None:
             if known.client == client and not known.running or known.running and request.host:
-                return LineResult(
-                    valid=False
-                )  # the first set-up with this id stays in effect and is answered
+                # the first set-up with this id stays in effect and is answered
+                return LineResult(valid=False)
             raise UnanswerableError("a second set-up under the id of a known task")
         task = self.tasks[line.id] = Task(line.id, client, running=bool(request.host))
         work = build_work(line.id, request, line.sdp)
@@ -139,13 +138,13 @@
         return LineResult(events.JobWithdrawn(client, task.id))
 
     def outlives_connection(self, line: owner_codec.Line) -> bool:
-        """Whether a line counts although its connection has gone: lines about running jobs do."""
+        """Whether a line counts although its connection has ended: lines about running jobs do."""
         if line.type == "setup":
             return "at:" in str(line.fields.get("extras", ""))
         return line.type == "release" and line.id in self.tasks and self.tasks[line.id].running
 
     def disconnect(self, client: int) -> events.ClientDisconnected:
-        """Forgets the unanswered jobs of a connection that has gone; returns the event for the engine."""
+        """Forgets the unanswered jobs of a connection that has ended; returns the event for the engine."""
         for task in list(self.unanswered.get(client, ())):
             self.remove(self.tasks[task])
         return events.ClientDisconnected(client)
--- a/linedeal/platform/service.py
+++ b/linedeal/platform/service.py
@@ -38,7 +38,7 @@
         self.lines_logged: dict[str, int] = {}  # by event, since the last "at work" line
 
     async def run(self, *, task_status=anyio.TASK_STATUS_IGNORED) -> None:
-        """Runs until a SIGTERM or SIGINT has been obeyed; reports the address that it listens on."""
+        """Runs until shut down by SIGTERM or SIGINT; reports the address that it listens on."""
         setup = self.setup
         numbers = itertools.count(1)
         self.next_number = lambda: next(numbers)
@@ -83,7 +83,7 @@
                 self.tasks.cancel_scope.cancel()
 
     def load_known_hosts(self) -> None:
-        """Gives the engine the hosts of the configuration file, so that it can start without the bus."""
+        """Passes the engine the hosts of the configuration file, so that it can start without the bus."""
         try:
             for event in self.feed.accept(self.setup.known, time.time()):
                 self.engine.put(event)
@@ -155,10 +155,10 @@
         )
 
     def is_needed(self, since: float) -> bool:
-        """Whether the service has to go on, `since` seconds after SIGTERM.
+        """Whether the service has to keep running, `since` seconds after SIGTERM.
 
         It waits for every unanswered job, which has its answer by its expiry and would be lost with its
-        connection. Running jobs go on at their hosts; their ends are passed on for a limited time.
+        connection. Running jobs continue at their hosts; their ends are passed on for a limited time.
         """
         return bool(self.engine.unanswered) or bool(self.router.tasks) and since < MAX_RUNNING_AFTER_SIGTERM
 
@@ -220,7 +220,7 @@
                 self.log,
             )
             self.tasks.start_soon(link.run)
-        link.relist(listed)
+        link.update_host(listed)
 
     def connections_per_host(self) -> int:
         """The connections that each host may have, by the number of hosts."""
--- a/linedeal/policy.py
+++ b/linedeal/policy.py
@@ -29,9 +29,11 @@
 from linedeal import interface as api
 from linedeal.interface import Effect, Mode, Reason, Result, TopologyLevel
 
-# Cost function F = HOST_COST * hosts in use - LONE_TAZ_GAIN * hosts with exactly one taz. `taz` and `turtle`
-# are terms of the paper that the placement follows: a taz is a service whose jobs use nearly all the cores
-# they request, a turtle any other.
+# Cost function F = HOST_COST * hosts in use - LONE_TAZ_GAIN * hosts with exactly one taz. It is that of the
+# paper "Multi-Objective Job Placement in Clusters" (ClavisMO).
+# HOST_COST is the paper's alpha and LONE_TAZ_GAIN its beta, with beta > alpha.
+# `taz` and `turtle` are the paper's terms, too: a taz is a service whose jobs use nearly all the cores they
+# request, a turtle any other.
 HOST_COST = 1.0
 LONE_TAZ_GAIN = 2.0
 
@@ -64,10 +66,10 @@
 
 AVERAGES_INTERVAL = 0.2  # seconds between sums over all hosts
 START_PENALTY = 0.01  # share of a host's capacity deducted for each job there that has not started yet
-LIST_LAG_ALLOWANCE = 0.06  # share of a host assumed to have come free since the last list, by others' jobs
+LIST_LAG_ALLOWANCE = 0.06  # share of a host assumed to be freed by others' jobs since the last list
 PRIOR_WEIGHT = 10.0  # requested cores, or memory, that the default usage ratio counts as
 PROBE_VALIDITY = 2.0  # seconds before list entries start to replace a usage figure from a probe
-PROBE_ROUND_MAX = 4.0  # seconds that probing every host once may take; beyond that no host is probed
+PROBE_ROUND_MAX = 4.0  # seconds that probing every host once may take; if it took longer, no host is probed
 SPARE_HOSTS = 0.75  # hosts in use beyond the load, for each controller, where hosts have a price
 
 # When a host's answer counts as late.
@@ -88,13 +90,13 @@
 LIST_SILENCE_MAX = 6.0  # seconds without a list after which the subscription is renewed
 EXPIRY_MARGIN = 0.03  # seconds before a job's expiry at which waiting ends
 
-# Slow start: the safety margins keep all controllers together below what a starting host bears.
+# Slow start: the margins keep the launches of all controllers together below the limit of a starting host.
 SLOW_START_SHARE = 0.8  # of the host's launch limit
 SLOW_START_WINDOW_FACTOR = 1.1  # of the window that the limit is counted over
 SLOT_SHARE = 0.1  # of that window: the length of one of this controller's send slots
 
 ACCEPTANCE_TIMEOUT_SHARE = 0.25  # share of an offering's expiry that a host may take to accept a launch
-MAX_USAGE_RATIO = 4.0  # usage beyond this multiple of a job's request says nothing about other jobs
+MAX_USAGE_RATIO = 4.0  # usage beyond this multiple of a job's request is no estimate for other jobs
 MAX_SERVICES = 4096  # services remembered; beyond that, services without a job are forgotten
 MAX_ENTRIES_PER_HOST = 2000  # this controller's launches on one host, and ejections remembered for it
 
@@ -104,7 +106,7 @@
 
 NEVER_RAN = (Result.TURNED_AWAY, Result.UNREACHABLE, Result.UNSENT)
 
-# What a job's lifecycle yields beside the host to launch on.
+# What a job's lifecycle yields apart from the host to launch on.
 AWAIT_HOST = "room"
 RUNNING = "runs"
 
@@ -141,7 +143,7 @@
     answer_due: float = 0.0  # after it the answer of a healthy host is late
     confirmed: bool = False
     started: bool = False
-    ended: bool = False  # answered, or no answer is owed any more
+    ended: bool = False  # answered, or no longer owed an answer
     cores: float = 0.0  # in use according to the last report
     memory: float = 0.0
 
@@ -178,7 +180,7 @@
     # by offering and customer: end of the ejection, and number of errors so far
     ejections: dict = field(default_factory=dict)
     send_times: deque = field(default_factory=lambda: deque(maxlen=500))
-    programs: dict = field(default_factory=dict)  # launches of each service; 0: the host may keep its program
+    programs: dict = field(default_factory=dict)  # launches of each service; 0: program may still be there
     probed_at: float = 0.0
     name_hash: int = 0
     slot_start: float = None  # during slow start: the start of one of this controller's send slots
@@ -282,7 +284,7 @@
     def schedule_waiting(self, now):
         """Scheduling pass: offers freed capacity to waiting jobs in scheduling order; returns the actions.
 
-        A pass that reaches its limit goes on in the next call, for which it sets a timer.
+        A pass that reaches its limit continues in the next call, for which it sets a timer.
         """
         self.now, self.actions = now, []
         self.choices_left = self.max_choices = min(
@@ -344,7 +346,7 @@
         return tracked
 
     def forget(self, tracked):
-        """Stops tracking a job; no effect if it is not tracked any more."""
+        """Stops tracking a job; no effect if it is no longer tracked."""
         if self.tracked_jobs.pop(tracked.job.id, None):
             tracked.service.job_count -= 1
 
@@ -366,7 +368,7 @@
             self.actions.append(api.Probe(host.entry.id))
         tracked = self.track_job(job)
         if uncertain_launch:
-            # the host is None if it has gone since; the job's repeats can then be recognized nowhere
+            # the host is None if it is no longer listed; then no host can recognize a repeat of the job
             tracked.uncertain_launch = self.hosts.get(uncertain_launch[0]), uncertain_launch[1]
         self.resume(tracked, None)
 
@@ -386,7 +388,7 @@
             )
 
     def job_withdrawn(self, job_id):
-        """Ends a job that is not owed an answer any more."""
+        """Ends a job that is no longer owed an answer."""
         tracked = self.tracked_jobs.get(job_id)
         if tracked and not tracked.ended:
             tracked.ended = True
@@ -410,7 +412,7 @@
     # -- lifecycle of a job
 
     def lifecycle(self, tracked):
-        """Generator that takes a job through its launches; returns the answer, or None where none is owed.
+        """Generator that leads a job through its launches; returns the answer, or None where none is owed.
 
         Yields AWAIT_HOST until it is sent a host (None: the time is up), then that host to launch there,
         until it is sent the launch's result (None: confirmed), then RUNNING.
@@ -476,7 +478,7 @@
     # -- the design: filter the hosts, keep those that increase F least, take the one with most free capacity
 
     def choose_host(self, tracked):
-        """The host to launch a job on, or None if no host may take it now."""
+        """The host to launch a job on, or None if no host may run it now."""
         if not self.needs_launch(tracked):
             return None
         candidates, now, name, self.next_slot = (
@@ -504,9 +506,9 @@
             if self.next_slot < NEVER:
                 self.set_timer(self.next_slot - now, "room")
             return None
-        # Hosts with a late answer come last: they may be overloaded, hung or cut off before any launch there
-        # has failed. Also covers hosts that start slowly. Drawback: a single job that is slow to answer also
-        # diverts jobs.
+        # Hosts with a late answer are used last: they may be overloaded, hung or cut off before any launch
+        # there has failed. Also covers hosts that start slowly. Drawback: a single job that is slow to answer
+        # also diverts jobs.
         candidates = [
             candidate for candidate in candidates if candidate[2].answer_due > self.now
         ] or candidates
@@ -534,7 +536,7 @@
     def fullest_needed(self, candidates):
         """The fullest candidates that the load needs.
 
-        More of them, the more controllers choose from the same late figures.
+        With more controllers, which choose from the same delayed figures, more hosts are needed.
         """
         full = self.serving_hosts - len(candidates)
         load = full + len(candidates) - sum(map(itemgetter(1), candidates)) / MEMORY_LIMIT
@@ -555,7 +557,7 @@
         return change
 
     def free_capacity(self, request, host):
-        """Capacity left beside a job, as a share of the host; below 0 if the job does not fit.
+        """Free capacity with the job added, as a share of the host; below 0 if the job does not fit.
 
         `request` is the job's requested cores, requested memory, cores in use and memory in use.
         """
@@ -590,7 +592,7 @@
         self.averages_due = self.now + AVERAGES_INTERVAL
         hosts = self.hosts.values()
         for host in hosts:
-            host.total_load = None  # the averages below stand in for what is not known of a host
+            host.total_load = None  # the averages below replace what is not known of a host
         own = [sum(host.own_load[i] for host in hosts if host.jobs) for i in range(4)]
         self.usage_ratio = [
             (own[i + 2] + PRIOR_WEIGHT * DEFAULT_CORES_USAGE) / (own[i] + PRIOR_WEIGHT) for i in (0, 1)
@@ -687,8 +689,8 @@
             LATE_ANSWER_MIN,
             LATE_ANSWER_FACTOR * self.offering_estimates[tracked.offering.name].answer_time,
         )
-        # an acceptance takes little time, so a host that is slow to accept is left early; cancelling a start
-        # would waste the work done
+        # an acceptance takes little time, so a launch that a host is slow to accept is cancelled early; to
+        # cancel a start would waste the work done
         if not self.settings.starts_confirmed:
             timeout = min(timeout, ACCEPTANCE_TIMEOUT_SHARE * tracked.offering.expiry)
             if tracked.offering.effect is Effect.REDOABLE:
@@ -753,7 +755,7 @@
         estimate.answer_time += ANSWER_TIME_WEIGHT * (self.now - tracked.sent_at - estimate.answer_time)
 
     def launch_ended(self, job_id, result, reason, closed):
-        """Handles the outcome of a launch; `closed`: the job is not owed an answer any more."""
+        """Handles the outcome of a launch; `closed`: the job is no longer owed an answer."""
         tracked = self.tracked_jobs.get(job_id)
         if tracked is None or tracked.host is None:
             return
@@ -786,9 +788,9 @@
         """Excludes the host for the job's offering and customer for a while.
 
         A host that fails one kind of job quickly would otherwise seem to have the most free capacity. Covers
-        any fault bound to host and offering; costs capacity if the fault ends long before the ejection does.
-        Ejections are per customer, as one customer's jobs that fail everywhere would take the hosts from all
-        others.
+        any fault of one host with one offering. Drawback: unused capacity if the fault ends long before the
+        ejection. Ejections are per customer: otherwise one customer's jobs that fail everywhere would eject
+        the hosts for all others.
         """
         name = tracked.offering.name, tracked.job.customer
         count = host.ejections.get(name, (0.0, 0))[1]
@@ -830,7 +832,7 @@
             tracked.started = True
             tracked.host.recount()
         elif metric in ("cores", "memory"):
-            # One job's usage also enters the estimates of its service and of its offering. The bounds keep a
+            # One job's usage also updates the estimates of its service and of its offering. The bounds keep a
             # tiny request, or a figure beyond the host's size, from distorting them.
             requested, value = getattr(job, metric), min(value, getattr(tracked.host.size, metric))
             setattr(tracked, metric, value)
--- a/linedeal/state/store.py
+++ b/linedeal/state/store.py
@@ -1,4 +1,4 @@
-"""A controller's state directory: its life number (a count of starts) and the last host list, in SQLite.
+"""A controller's state directory: its incarnation number (a count of starts) and last host list, in SQLite.
 
 SQLite is used because the data is small, must survive a kill at any byte, and needs a lock that keeps two
 processes from sharing one directory; a file format of our own would have to reimplement its journal.
@@ -99,7 +99,7 @@
             raise StoreError(f"{self.path}: {name} cannot be stored: {error}") from None
 
     def next_life(self) -> int:
-        """A number larger than that of all earlier lives (starts); it is on disk when this returns."""
+        """A number larger than that of all earlier incarnations (starts); it is on disk when this returns."""
         life = (self.get("life", int) or 0) + 1
         self.put("life", life)
         return life
