--- a/linedeal/fleet/council_client.py
+++ b/linedeal/fleet/council_client.py
@@ -66,9 +66,8 @@
         try:
             return await self.tasks.__aexit__(*error)
         except BaseExceptionGroup as group:
-            if group.exceptions == (
-                error[1],
-            ):  # only the block's own exception, which its caller expects bare
+            # only the block's own exception, which its caller expects bare
+            if group.exceptions == (error[1],):
                 raise error[1] from None
             raise
 
--- a/linedeal/interface.py
+++ b/linedeal/interface.py
@@ -103,7 +103,8 @@
     starts_confirmed: bool  # hosts confirm a launch when the job runs, not when they accept it
     host_price: float  # over 0: each host in use costs, so jobs are packed onto fewer hosts
     must_subscribe: bool  # host lists are sent only after `Subscribe`
-    # seconds that a subscription may be missing; after that a controller is treated as if it had a list
+    # seconds after which a controller without a subscription counts as notified of what the host list says;
+    # the deadlines of the rules, such as the drain grace, start then
     subscription_timeout: float
     may_probe: bool
     max_launches: int  # of one job
