--- a/linedeal/fleet/council_client.py
+++ b/linedeal/fleet/council_client.py
@@ -66,9 +66,8 @@
         try:
             return await self.tasks.__aexit__(*error)
         except BaseExceptionGroup as group:
-            if group.exceptions == (
-                error[1],
-            ):  # only the block's own exception, which its caller expects bare
+            # The group holds only the block's own exception, which its caller expects bare.
+            if group.exceptions == (error[1],):
                 raise error[1] from None
             raise
 
@@ -92,9 +91,8 @@
         The outcome is UNKNOWN if none answers within `timeout` seconds. Raises CouncilRequestError.
         """
         deadline = anyio.current_time() + timeout
-        unanswered: dict[
-            str, str
-        ] = {}  # why each member has no answer, the one that was asked last at the end
+        # why each member has no answer, the one that was asked last at the end
+        unanswered: dict[str, str] = {}
         for member in itertools.cycle(tuple(self.members)):
             remaining = deadline - anyio.current_time()
             if remaining <= 0:
--- a/linedeal/fleet/isolation.py
+++ b/linedeal/fleet/isolation.py
@@ -8,10 +8,8 @@
 
 import anyio
 
-RESTART_DELAY = (
-    1.0,
-    60.0,
-)  # seconds until the restart after a failure: the first, and the limit as it doubles
+# seconds until the restart after a failure: the first, and the limit as it doubles
+RESTART_DELAY = (1.0, 60.0)
 
 
 async def run_isolated(where: str, work: Callable[[], Awaitable[None]], log) -> None:
