--- a/benchmarks/controller_pace.py
+++ b/benchmarks/controller_pace.py
@@ -1,6 +1,6 @@
 """Throughput of one controller process with 100 stand-in hosts, and the delay that it adds.
 
-The controller runs in a process of its own; discovery, the load generator and hosts that accept at once run
+The controller runs in a separate process; discovery, the load generator and hosts that accept at once run
 in this one. The delay is measured from the submission of a job by the load generator until its offer reaches
 a host, both on the same clock. For comparison, the policy module alone is given the same sequence of events
 in memory: job, acceptance, end.
--- a/benchmarks/duties.py
+++ b/benchmarks/duties.py
@@ -208,7 +208,7 @@
 
 
 async def inject_fault(cluster: ProcessCluster, owner: str, fault: str) -> None:
-    """Kills, stops or cuts off the owner for twice the lease, as `fault` says."""
+    """Kills, stops or cuts off the owner for twice the lease, depending on `fault`."""
     await cluster.mark("fault", owner)
     members = [name.partition("/")[0] for name in cluster.routes if name.endswith("/council")]
     pairs = [pair for member in members if member != owner for pair in ((owner, member), (member, owner))]
--- a/benchmarks/kills.py
+++ b/benchmarks/kills.py
@@ -2,7 +2,7 @@
 
     python benchmarks/kills.py [--jobs 100000] [--kills 1000] [--processes 8]
 
-Each process plays one run in memory on a mock clock, with a seed of its own: two controllers with journals on
+Each process plays one run in memory on a mock clock, with its own seed: two controllers with journals on
 disk, 12 stand-in hosts, and owners that submit jobs of all three effects at a steady rate, while one
 controller at a time is killed at a random moment and restarted after 0 to 0.4 s. Every answer sent to an
 owner and every launch that a host started is counted.
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -51,7 +51,7 @@
 
 
 def write_journal(directory: Path, jobs: int, hosts: int) -> tuple[dict[str, list], int]:
-    """Writes the journal that incarnation 1 leaves behind with so many jobs.
+    """Writes the journal that incarnation 1 leaves behind with `jobs` jobs.
 
     Returns the launches that each host holds, as (number, job), and the size of the journal in bytes.
     """
@@ -83,7 +83,7 @@
 
 
 async def measure(directory: Path, jobs: int, hosts: int) -> dict:
-    """Starts a controller on a journal with so many jobs; returns what is printed, with times in seconds."""
+    """Starts a controller on a journal with `jobs` jobs; returns what is printed, with times in seconds."""
     held, size = write_journal(directory, jobs, hosts)
     cluster = parse_cluster(CLUSTER)
     cluster = replace(cluster, limits=replace(cluster.limits, held=3 * jobs))
--- a/linedeal/audit/duties.py
+++ b/linedeal/audit/duties.py
@@ -14,8 +14,8 @@
 from linedeal.protocol import pb
 from linedeal.settings.records import Cluster
 
-# seconds after a host's death within which an owner need not know of it: it may find the host silent twice,
-# and its host list may be late
+# seconds after a host's death within which a duty's owner need not have detected it: two requests to the host
+# may time out first, and the owner's host list may be late
 DEATH_NOTICE_TIME = 6.0
 CLAIMS = {
     "tokens": "the tokens of effects carried out never go down, and each is one owner's",
@@ -94,7 +94,7 @@
             try:
                 found.append((change.t, change.made, campaign.decode(decode(change.body).progress, Progress)))
             except DutyError:
-                pass  # whoever reads the register refuses it as well
+                pass  # readers of the register reject it as well
     return found
 
 
@@ -119,7 +119,7 @@
                     "planned",
                     order.t,
                     f"{order.owner} ordered {STAGES[order.kind].name.lower()} for "
-                    f"{order.host} boot {order.boot}, which does not stand in the council",
+                    f"{order.host} boot {order.boot}, which the council has not recorded",
                 )
 
 
@@ -139,7 +139,7 @@
 
 
 def unavailable_spans(traffic: Traffic) -> tuple[dict, dict]:
-    """By host, the spans in which a campaign had it out and in which it was dead, up to its next start."""
+    """By host: when a campaign had it out of service, and when it was dead, each up to its next start."""
     starts: dict[str, list[float]] = {}
     for (host, _), t in traffic.booted.items():
         starts.setdefault(host, []).append(t)
@@ -257,7 +257,7 @@
 
 
 def check_ends(traffic: Traffic):
-    """Claim "ends": a campaign has ended, has hosts out, or gives the reason why it waits."""
+    """Claim "ends": a campaign has ended, has hosts out of service, or gives the reason why it waits."""
     for plan, progress in campaign_outcomes(traffic):
         if not (progress.ended or progress.stands or progress.out):
-            yield DutyBreach("ends", traffic.end, f"{plan.id} neither ended nor says why it stands")
+            yield DutyBreach("ends", traffic.end, f"{plan.id} has neither ended nor given a reason to wait")
--- a/linedeal/audit/rules.py
+++ b/linedeal/audit/rules.py
@@ -215,7 +215,7 @@
                 3,
                 launch.t,
                 f"{launch.job.id} was sent to {launch.host} {launch.t - since:.3f} s after "
-                f"{launch.controller} was told that it drains or is gone",
+                f"{launch.controller} was notified that it drains or is gone",
             )
 
 
--- a/linedeal/cli.py
+++ b/linedeal/cli.py
@@ -405,7 +405,7 @@
     record: Annotated[str, typer.Option()],
     control: Control = False,
 ):
-    """Runs one part of a day's job owners in a process of its own; used by `linedeal rig`."""
+    """Runs one part of a day's job owners in a separate process; used by `linedeal rig`."""
     from linedeal import logs
     from linedeal.lab.loadpart import LoadPart
     from linedeal.net import TcpNet
--- a/linedeal/cli_campaign.py
+++ b/linedeal/cli_campaign.py
@@ -136,7 +136,7 @@
         "status", epilog="Example: linedeal fleet campaign status --cluster examples/council.hcl"
     )
     def status(cluster: Cluster, key: Key = None, within: Within = 2.0, as_json: Json = False):
-        """Shows the campaign: its owner, the hosts out of service, and why no further one is started."""
+        """Shows the campaign: its owner, the hosts out of service, and why no further host is started."""
         from linedeal.duties.campaign import describe_progress
         from linedeal.fleet import operator
 
@@ -200,7 +200,7 @@
         "begins no further host; those that are out of service are finished",
         "Starts no further host. A drain cannot be undone, so hosts that are out of service are finished.",
     )
-    add_change_command("resume", "RUN", "goes on", "Resumes a paused campaign.")
+    add_change_command("resume", "RUN", "continues", "Resumes a paused campaign.")
     add_change_command(
         "abort",
         "ABORT",
--- a/linedeal/cli_fleet.py
+++ b/linedeal/cli_fleet.py
@@ -233,7 +233,7 @@
 
 
 def format_status(status: dict | None, within: float) -> str:
-    """Returns a member's status as one line; None stands for a member that did not answer."""
+    """Returns a member's status as one line. `status` is None if the member did not answer."""
     if status is None:
         return f"did not answer within {within:g} s"
     if status["retired"]:
--- a/linedeal/fleet/council_client.py
+++ b/linedeal/fleet/council_client.py
@@ -29,14 +29,14 @@
     outcome: Outcome
     value: Value
     member: str  # the member that answered; empty: none did
-    unanswered: tuple[str, ...] = ()  # members that were asked and had no answer, each with the reason
+    unanswered: tuple[str, ...] = ()  # members that were tried and did not answer, each with the reason
 
 
 class CouncilClient:
     """Sends requests to the members of the council, over one link per member, made when it is needed.
 
     An async context manager: links run in a task group that lives as long as the block. `name` is a
-    controller's name and life, or says who else asks. `jitter` returns numbers in [0, 1).
+    controller's name and life, or names the operator. `jitter` returns numbers in [0, 1).
     """
 
     def __init__(
@@ -44,8 +44,8 @@
     ):
         """`token` proves to a member that the client belongs to the cluster."""
         self.settings, self.name, self.net = settings, name, net
-        # Clients are spread over the members. A member's own process asks itself last: a report that only it
-        # had would be lost with it, and nobody would notice that it is gone.
+        # Clients are spread over the members. A member's own process tries itself last: a report that only it
+        # held would be lost with it, and the loss would go unnoticed.
         self.own_member = name.partition("/")[0]
         self.members = sorted(settings.places, key=lambda member: (member == self.own_member, jitter()))
         self.hello = encode(
@@ -91,7 +91,7 @@
         The outcome is UNKNOWN if none answers within `timeout` seconds. Raises CouncilRequestError.
         """
         deadline = anyio.current_time() + timeout
-        # why each member has no answer, the one that was asked last at the end
+        # why each member did not answer; the one that was tried last is at the end
         unanswered: dict[str, str] = {}
         for member in itertools.cycle(tuple(self.members)):
             remaining = deadline - anyio.current_time()
--- a/linedeal/fleet/council_service.py
+++ b/linedeal/fleet/council_service.py
@@ -283,13 +283,13 @@
         )
 
     def reply_error(self, received: ReceivedRequest, reason: str) -> None:
-        """Tells the client why its request can never be carried out."""
+        """Sends the client the reason why its request can never be carried out."""
         received.client.send(
             pb.CouncilTold(number=received.message.number, outcome="FAULT", body=reason.encode())
         )
 
     def receive_report(self, member: Member, received: ReceivedRequest, now: float) -> list:
-        """Takes a controller's report, in memory only, and replies with the census.
+        """Accepts a controller's report, in memory only, and replies with the census.
 
         The census is the last one that this member has; it may be older than the newest. Raises
         InvalidRequestError.
--- a/linedeal/fleet/duty_service.py
+++ b/linedeal/fleet/duty_service.py
@@ -135,8 +135,8 @@
             except NotOwnerError:
                 pass  # the state machine reports `Lost` at its next tick
             except Exception:
-                # A failure of one duty's work must not end the controller, and the duty must go on: it is
-                # resigned, because another controller may succeed.
+                # A failure of one duty's work must not end the controller, and the duty must continue: it
+                # is resigned, because another controller may succeed.
                 self.log.error("fault", where=self.name, trace=traceback.format_exc())
                 self.carry_out(self.holder.resign(anyio.current_time()))
 
@@ -230,7 +230,7 @@
                 self.log.warning("report not sent", reason=str(error))
 
     def receive_census(self, received: census.Census) -> None:
-        """Takes a census if it is newer: a member may lag, and an owner may have been late."""
+        """Stores a census if it is newer: a member may lag, and an owner may have been late."""
         if self.census is None or (received.token, received.number) > (
             self.census.token,
             self.census.number,
--- a/linedeal/lab/balance_in_memory.py
+++ b/linedeal/lab/balance_in_memory.py
@@ -30,7 +30,7 @@
 
 
 def sample_in_memory(
-    day: Day, policy: type = Controller, say: Callable[[str], None] = lambda line: None
+    day: Day, policy: type = Controller, print_line: Callable[[str], None] = lambda line: None
 ) -> SampledDay:
     """Runs a day on a mock clock. Equal days, with their seeds, and policies give equal results."""
     arrived: dict[tuple, list] = {}  # by host and launch: arrival time, service, whether it was refused
@@ -60,7 +60,7 @@
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(sample)
-            tally = await play(day, cluster, cluster.net, say)
+            tally = await play(day, cluster, cluster.net, print_line)
             tasks.cancel_scope.cancel()
         arrivals = [
             Arrival(t - start, host, cluster.host_specs[host].kind, launch[0], service, refused)
--- a/linedeal/lab/balance_metrics.py
+++ b/linedeal/lab/balance_metrics.py
@@ -182,8 +182,8 @@
 class BalanceMetrics:
     """The metrics of one day for one kind of host.
 
-    The names of the fields are keys of the JSON output. Figures are medians over time unless said otherwise;
-    those of `Spread` are explained there.
+    The names of the fields are keys of the JSON output. Figures are medians over time unless stated
+    otherwise; those of `Spread` are explained there.
     """
 
     kind: str
--- a/linedeal/lab/balance_run.py
+++ b/linedeal/lab/balance_run.py
@@ -58,10 +58,10 @@
     )
 
 
-async def run_processes(config: RunConfig, directory: Path, say: Callable[[str], None]) -> RigResult:
+async def run_processes(config: RunConfig, directory: Path, print_line: Callable[[str], None]) -> RigResult:
     """Runs the day in real time over processes and sockets.
 
-    `say` is called with lines about the progress. Raises ClusterProcessError if a process does not start.
+    `print_line` is called with each line of progress. Raises ClusterProcessError if a process does not start.
     """
     day, file = write_day(
         directory,
@@ -72,7 +72,7 @@
         config.trouble,
         config.seed,
     )
-    async with Rig(day, file, directory / "day", config.policy, say) as rig:
+    async with Rig(day, file, directory / "day", config.policy, print_line) as rig:
         return await play_on_rig(rig)
 
 
@@ -86,7 +86,7 @@
     lines = []
     for kind in measure(result, config):
         lines.append(
-            f"{name:14} {kind.kind}: {kind.hosts} hosts at {kind.mean:.2f} of their room, most over mean "
+            f"{name:14} {kind.kind}: {kind.hosts} hosts at {kind.mean:.2f} of their capacity, most over mean "
             f"{kind.most_over_mean:.2f} (p95 {kind.most_over_mean_p95:.2f}), variation {kind.variation:.2f}, "
             f"Jain {kind.jain:.3f}, idle beside full {kind.idle_beside_full:.3f}, "
             f"herding {kind.herding.index:.2f} (burst {kind.herding.burst}, by "
--- a/linedeal/lab/baselines.py
+++ b/linedeal/lab/baselines.py
@@ -11,7 +11,7 @@
 from linedeal.policy import Controller
 
 TRANSIT_TIME = 0.02  # seconds from sending a launch until the host has it, in memory
-SUBSET_SIZE = 20  # hosts in the subset of a controller, if there are so many
+SUBSET_SIZE = 20  # hosts in the subset of a controller; all hosts if there are fewer
 
 
 class Baseline(Controller):
@@ -37,7 +37,7 @@
         return self.select(candidates, tracked) if candidates else None
 
     def select(self, candidates, tracked):
-        """Returns one of the candidates, of which there is at least one."""
+        """Returns one of the candidates; there is at least one."""
         raise NotImplementedError
 
 
--- a/linedeal/lab/campaign_simulation.py
+++ b/linedeal/lab/campaign_simulation.py
@@ -97,7 +97,7 @@
         self.owner = self.runner_class(Progress(), 0.0)
 
     def play(self, seconds: float) -> SimulationResult:
-        """Runs the simulation until the campaign has ended, at most for so many seconds."""
+        """Runs the simulation until the campaign has ended, for at most `seconds`."""
         while self.now < seconds and not self.result.progress.ended:
             self.now += STEP
             self.step_hosts()
@@ -111,11 +111,11 @@
             and not self.result.progress.stands
             and not self.result.progress.out
         ):
-            self.result.violations.append("the campaign neither ended nor says why it does not continue")
+            self.result.violations.append("the campaign has neither ended nor given a reason to wait")
         return self.result
 
     def schedule(self, seconds: float, call, *arguments) -> None:
-        """Makes a call after so many seconds; calls for the same time are made in the order of scheduling."""
+        """Calls `call` after `seconds`; calls for the same time are made in the order of scheduling."""
         self.last_number += 1
         heapq.heappush(self.events, (self.now + seconds, self.last_number, call, arguments))
 
@@ -250,7 +250,7 @@
         if order.kind is OrderKind.DRAIN and host.down_until > self.now:
             return
         try:
-            # The real tool has a fence of its own; here it shares that of each host.
+            # The real tool has its own fence; here it shares that of each host.
             host.fence = host.fence.admit("campaign", token)
         except DutyError:
             self.result.rejected += 1
--- a/linedeal/lab/clocks.py
+++ b/linedeal/lab/clocks.py
@@ -18,7 +18,7 @@
 
 
 class SkewedEventLoop(asyncio.SelectorEventLoop):
-    """An event loop with a clock of its own."""
+    """An event loop whose clock advances at a configured rate."""
 
     def __init__(self, rate: float):
         """`rate`: seconds that the clock advances in a real second."""
--- a/linedeal/lab/cluster.py
+++ b/linedeal/lab/cluster.py
@@ -13,7 +13,7 @@
     host_specs: dict[str, HostSpec]
 
     async def start_host(self, spec: HostSpec, slow_start: bool) -> None:
-        """Adds a host; with `slow_start` it runs cold, as a machine that has just started."""
+        """Adds a host; with `slow_start` it starts slowly, as a machine that has just booted."""
         ...
 
     async def start(self, name: str) -> None:
--- a/linedeal/lab/duty_simulation.py
+++ b/linedeal/lab/duty_simulation.py
@@ -98,7 +98,7 @@
         return self.result
 
     def schedule(self, seconds: float, what, *arguments) -> None:
-        """Calls `what` after so many seconds; calls for the same time are made in the order of scheduling."""
+        """Calls `what` after `seconds`; calls for the same time are made in the order of scheduling."""
         self.last_number += 1
         heapq.heappush(self.events, (self.now + seconds, self.last_number, what, arguments))
 
--- a/linedeal/lab/inprocess.py
+++ b/linedeal/lab/inprocess.py
@@ -90,7 +90,7 @@
         await self.tasks.start(run_in_scope)
 
     async def start_host(self, spec: HostSpec, slow_start: bool) -> None:
-        """Adds a host; with `slow_start` it runs cold, as a machine that has just started."""
+        """Adds a host; with `slow_start` it starts slowly, as a machine that has just booted."""
         self.host_specs[spec.name] = spec
         boot = self.boots[spec.name] = self.boots.get(spec.name, 0) + 1
         model = self.model(
--- a/linedeal/lab/load_plot.py
+++ b/linedeal/lab/load_plot.py
@@ -45,7 +45,7 @@
             extent=(times[0], times[-1], 0, len(hosts)),
         )
         axis.set_ylabel("host, by kind and zone")
-        axis.set_title(f"{policy}: cores asked, as a share of what the host accepts", fontsize=10)
+        axis.set_title(f"{policy}: requested cores as a share of those that the host accepts", fontsize=10)
         figure.colorbar(image, ax=axis, fraction=0.03, pad=0.01)
     for policy, (samples, arrivals) in days.items():
         for kind in sorted({sample.kind for sample in samples}):
--- a/linedeal/lab/loadpart.py
+++ b/linedeal/lab/loadpart.py
@@ -1,4 +1,4 @@
-"""A part of a day's load as a process of its own.
+"""A part of a day's load, run as a separate process.
 
 Takes changes of the load as orders on standard input and writes its tally to a file at the end.
 """
--- a/linedeal/lab/model_checker.py
+++ b/linedeal/lab/model_checker.py
@@ -11,7 +11,7 @@
 - The answers on each register are linearizable.
 - No member votes in an epoch that it sealed.
 
-A vote cast from an outdated copy of a directory has no check of its own; it violates one of the others.
+A vote cast from an outdated copy of a directory has no separate check; it violates one of the others.
 """
 
 import random
@@ -41,7 +41,7 @@
 
 
 class InvariantError(Exception):
-    """An invariant of the council is violated; the message says which."""
+    """An invariant of the council is violated; the message names it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
 
 
 def member_names(count: int) -> tuple[str, ...]:
-    """Returns the names of so many members."""
+    """Returns the names of `count` members."""
     return tuple("abcdefg"[:count])
 
 
@@ -416,7 +416,7 @@
 
 
 def explore_random(case: Case, seed: int, steps: int = 120) -> SearchResult:
-    """Follows one random schedule for at most so many steps, or up to the first violation."""
+    """Follows one random schedule for at most `steps` steps, or up to the first violation."""
     chance, start_time, result = random.Random(seed), time.perf_counter(), SearchResult()
     state, schedule = initial_state(case), []
     for _ in range(steps):
--- a/linedeal/lab/rig.py
+++ b/linedeal/lab/rig.py
@@ -48,11 +48,11 @@
         day_file: Path,
         directory: Path,
         policy: str = "linedeal",
-        say: Callable[[str], None] = lambda line: None,
+        print_line: Callable[[str], None] = lambda line: None,
     ):
-        """Starts nothing yet. `say` is called with lines about the progress."""
+        """Starts nothing yet. `print_line` is called with each line of progress."""
         super().__init__(day, directory)
-        self.day_file, self.policy, self.say = day_file, policy, say
+        self.day_file, self.policy, self.print_line = day_file, policy, print_line
         self.period = (
             SLOW_LIST_INTERVAL if len(day.controllers) * len(day.hosts) > MAX_FREQUENT_LIST_ENTRIES else 0.25
         )
@@ -79,7 +79,7 @@
             async with anyio.create_task_group() as starting:
                 for spec in self.day.controllers:
                     starting.start_soon(self.start_controller_limited, limiter, spec)
-            self.say(
+            self.print_line(
                 f"{len(self.day.controllers)} controllers started in {time.monotonic() - started_at:.0f} s"
             )
             await self.start_loads()
@@ -177,7 +177,7 @@
     # --- what the orders of a day do
 
     async def start_host(self, spec: HostSpec, slow_start: bool) -> None:
-        """Adds a host during the day, in a process of its own. `slow_start` is ignored."""
+        """Adds a host during the day, in a separate process. `slow_start` is ignored."""
         await self.start_host_pool(f"crowd-{spec.name}", (spec,))
 
     async def start(self, name: str) -> None:
@@ -275,7 +275,7 @@
     used_before, start, monotonic_start = processor_seconds(rig, names), time.time(), time.monotonic()
     rig.order_loads({"begin": True})
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(Director(rig.day, rig, RemoteLoadGenerator(rig), rig.say).run)
+        tasks.start_soon(Director(rig.day, rig, RemoteLoadGenerator(rig), rig.print_line).run)
         await anyio.sleep(rig.day.length)
         seconds, used = time.monotonic() - monotonic_start, processor_seconds(rig, names) - used_before
         memory = max(resident_memory_mb(rig, name) for name in names)
--- a/linedeal/lab/tap.py
+++ b/linedeal/lab/tap.py
@@ -216,7 +216,7 @@
 
 
 class TapProcess:
-    """The tap as a process of its own, with one listener in front of each tapped address."""
+    """The tap as a separate process, with one listener in front of each tapped address."""
 
     def __init__(self, net, recorder: Recorder):
         """`net`: the network on which it listens and connects."""
@@ -230,7 +230,7 @@
             try:
                 server = await self.net.connect(to)
             except CONNECTION_ERRORS:
-                await anyio.aclose_forcefully(client)  # nobody listens at `to`: nothing is recorded
+                await anyio.aclose_forcefully(client)  # there is no listener at `to`: nothing is recorded
                 return
             await ProxiedLink(client, server, name, self.recorder, self.network).run()
 
--- a/linedeal/standin/discovery.py
+++ b/linedeal/standin/discovery.py
@@ -87,7 +87,7 @@
                 await link.send(encode(pb.Welcome(version=1, name="discovery")))
                 await self.watched(link)
         except (LinkLostError, TimeoutError):
-            pass  # watchers and hosts reconnect by themselves
+            pass  # watchers and hosts reconnect
         finally:
             await link.close()
 
@@ -172,7 +172,7 @@
     def control(self, order: dict) -> None:
         """Injects faults; raises ValueError for an unknown one.
 
-        `late`: seconds by which lists are delayed; `down`: whether it serves nobody; `period`: seconds
+        `late`: seconds by which lists are delayed; `down`: whether it is out of service; `period`: seconds
         between versions; `lose`: ends all watches once.
         """
         for name, value in order.items():
--- a/linedeal/standin/host.py
+++ b/linedeal/standin/host.py
@@ -112,7 +112,7 @@
             peer = self.peers[hello.name] = Peer(link, hello)
             await run_until_link_lost(self.read(peer), self.write(peer), self.until_ended(peer))
         except (LinkLostError, TimeoutError):
-            pass  # the host goes on without the controller
+            pass  # the host keeps running without the controller
         finally:
             if peer is not None and self.peers.get(peer.hello.name) is peer:
                 del self.peers[peer.hello.name]
--- a/linedeal/standin/model.py
+++ b/linedeal/standin/model.py
@@ -1,7 +1,7 @@
 """Behavior of a simulated host: a state machine that takes messages and times and returns messages.
 
-Has no I/O, no clock and no random source of its own, so that equal seeds give equal runs. All times are
-seconds.
+It does no I/O and is passed the time and its random source, so that equal seeds give equal runs. All times
+are in seconds.
 """
 
 import heapq
--- a/linedeal/standin/tool.py
+++ b/linedeal/standin/tool.py
@@ -1,7 +1,7 @@
 """Simulated operators' tool that replaces hosts.
 
-It asks whoever started it to replace a host, and waits for the report that the host has booted again. The
-boots that it replaces are on its disk before it begins.
+It requests each replacement from the process that started it, and waits for the report that the host has
+booted again. It records the boots that it replaces on disk before it begins.
 """
 
 import json
