--- a/linedeal/audit/rules.py
+++ b/linedeal/audit/rules.py
@@ -279,7 +279,7 @@
         if offering is None:
             continue
         known_since = [(launch.t, launch.life)] + [
-            (t, life) for t, name, life, found in traffic.found if found is launch
+            (t, life) for t, _, life, recovered in traffic.recovered if recovered is launch
         ]
         for t, life in known_since:
             domain = (
--- a/linedeal/audit/traffic.py
+++ b/linedeal/audit/traffic.py
@@ -152,7 +152,7 @@
     booted: dict[tuple[str, int], float] = field(default_factory=dict)  # by host and boot
     marks: list[tuple[float, str, str]] = field(default_factory=list)  # faults from outside: time, what, who
     # launches of an earlier incarnation that a welcome named: its time, controller, incarnation, launch
-    found: list[tuple] = field(default_factory=list)
+    recovered: list[tuple] = field(default_factory=list)
     turned_away: int = 0
     # identifiers used twice: time, number of the rule, text
     duplicates: list[tuple[float, int, str]] = field(default_factory=list)
@@ -393,7 +393,7 @@
                 if item.phase == pb.RUNNING:
                     launch.started = min(launch.started, entry.t)
                 if launch.life != life:
-                    self.traffic.found.append((entry.t, name, life, launch))
+                    self.traffic.recovered.append((entry.t, name, life, launch))
 
     def boot(self, host, boot, t, age) -> None:
         """Notes when a boot of a host began; the earliest of several estimates counts. `age`: seconds."""
--- a/linedeal/standin/discovery.py
+++ b/linedeal/standin/discovery.py
@@ -85,7 +85,7 @@
                 await self.receive_reports(link)
             elif hello.role == pb.CONTROLLER:
                 await link.send(encode(pb.Welcome(version=1, name="discovery")))
-                await self.watched(link)
+                await self.serve_watcher(link)
         except (LinkLostError, TimeoutError):
             pass  # watchers and hosts reconnect
         finally:
@@ -99,7 +99,7 @@
                 for entry in message.hosts:
                     self.reports[entry.id] = (anyio.current_time(), entry)
 
-    async def watched(self, link: Link) -> None:
+    async def serve_watcher(self, link: Link) -> None:
         """Serves a controller's watch. Raises LinkLostError as its link or the subscription ends."""
         watcher = Watcher()
         self.watchers.append(watcher)
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -117,7 +117,7 @@
     ),
     "controllers restart amid a mass restart": (
         ["at 2 kill h01,h02,h03 for 1", "at 2.5 kill c1,c2 for 1"],
-        lambda t: {launch.life for launch in t.launches.values()} == {1, 2} and t.found,
+        lambda t: {launch.life for launch in t.launches.values()} == {1, 2} and t.recovered,
     ),
     "discovery is down while hosts drain": (
         ["at 1 discovery down for 4", "at 2 drain h01,h02 for 5"],
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -355,7 +355,7 @@
         await link.send(GARBAGE[0])
         await anyio.sleep(1)
 
-    cluster.discovery.watched = send_garbage.__get__(cluster.discovery)
+    cluster.discovery.serve_watcher = send_garbage.__get__(cluster.discovery)
     cluster.discovery.control({"lose": True})
     await cluster.until(lambda: len(failures) >= 2)  # requested again after each failure
     async with cluster.client() as client:
