--- a/linedeal/audit/rules.py
+++ b/linedeal/audit/rules.py
@@ -8,10 +8,11 @@
 from linedeal.protocol import pb
 from linedeal.settings.records import Cluster
 
-# seconds after a session's reconnect within which it is sent the answers decided meanwhile; covers the time
-# that a new incarnation waits for its hosts' inventories
+# seconds after a session reconnects within which it must receive the answers that it missed; covers the time
+# for which a new incarnation of the controller waits for its hosts' inventories
 RECONNECT_GRACE = 2.5
-# seconds by which the times of messages that a controller handles in one moment may differ between links
+# seconds by which the recorded times of messages on different links may differ although the controller
+# handled them at the same moment
 JITTER = 0.15
 RULES = {
     1: "every job taken is answered once, in time, and nothing is sent after",
@@ -32,7 +33,7 @@
 
 
 def find_breaches(traffic: Traffic, cluster: Cluster) -> list[Breach]:
-    """Every breach, in order of rule and time; empty when all five rules hold."""
+    """Returns all breaches, in order of rule and time; an empty list if all five rules hold."""
     found = [Breach(rule, t, text) for t, rule, text in traffic.duplicates]
     for job in traffic.jobs.values():
         found += check_answer(traffic, cluster, job)
@@ -44,7 +45,7 @@
 
 
 def offering_of(cluster, job):
-    """The settings of the job's offering."""
+    """Returns the settings of the job's offering."""
     return cluster.settings.offerings[job.offering]
 
 
@@ -52,12 +53,12 @@
 
 
 def next_kill(traffic: Traffic, name: str, since: float) -> float:
-    """When that process was next killed from outside."""
+    """Returns when the process was first killed at or after `since`, or NEVER."""
     return next((t for t, what, who in traffic.marks if what == "kill" and who == name and t >= since), NEVER)
 
 
 def end_of_pause(traffic: Traffic, name: str, t: float) -> float:
-    """`t`, or the end of the pause in which `t` lies, where the process was paused from outside."""
+    """Returns the end of the process's injected pause that was in effect at `t`, or `t` if there was none."""
     stopped = None
     for at, what, who in traffic.marks:
         if who == name and what == "stop":
@@ -75,14 +76,15 @@
     wait = min(job.wait or offering.expiry, offering.expiry)
     due = end_of_pause(traffic, job.controller, max(job.taken, job.began) + wait) + cluster.rules.answer_slack
     if job.session:
-        # Neither a kill nor a broken link excuses the answer: it is due once the controller runs and a link
-        # is open.
-        due, gone = delivery_deadline(traffic, job, due), NEVER if not job.on_hold else 0.0
+        # A session's job survives kills and broken links: its answer is due once the controller runs and a
+        # link is open. A job on hold has no due time.
+        due, excused_at = delivery_deadline(traffic, job, due), NEVER if not job.on_hold else 0.0
     else:
-        gone = min(next_kill(traffic, job.controller, job.taken), job.left)
+        # Without a session, the end of the controller or of the owner's link excuses a missing answer.
+        excused_at = min(next_kill(traffic, job.controller, job.taken), job.left)
     verdicts = job.reported_verdicts
     if not verdicts:
-        if gone > due and traffic.end > due:
+        if excused_at > due and traffic.end > due:
             yield Breach(1, due, f"{job.id} ({job.offering}) was taken at {job.taken:.3f} and never answered")
         return
     first = verdicts[0][0]
@@ -110,14 +112,14 @@
 
 
 def delivery_deadline(traffic: Traffic, job: ObservedJob, due: float) -> float:
-    """When a session must have its answer: at `due`, or RECONNECT_GRACE after it reconnects.
+    """Returns when a session must have its answer: at `due`, or RECONNECT_GRACE after it reconnects.
 
-    Only links that stay open for RECONNECT_GRACE count.
+    Only links that remain open for RECONNECT_GRACE count.
     """
     end = NEVER
     for opened, ended, _ in traffic.sessions.get((job.controller, job.session), ()):
         if opened <= due <= ended - RECONNECT_GRACE:
-            # The link is open at the due time; answers lost with an earlier one are sent again as it opens.
+            # This link is open at the due time. Answers lost with an earlier link are repeated when it opens.
             end = min(end, max(due, opened + RECONNECT_GRACE))
         elif opened > due and ended > opened + RECONNECT_GRACE:
             end = min(end, opened + RECONNECT_GRACE)
@@ -133,7 +135,7 @@
     for index, launch in enumerate(job.launches):
         earlier = job.launches[:index]
         for other in earlier:
-            over = min(
+            ended_at = min(
                 other.t + other.wait,
                 other.refused,
                 other.ended,
@@ -142,7 +144,7 @@
                 other.absent,
                 other.lost,
             )
-            if over > launch.t + JITTER:
+            if ended_at > launch.t + JITTER:
                 yield Breach(
                     2,
                     launch.t,
@@ -190,7 +192,7 @@
 
 
 def domain_of(traffic, level: TopologyLevel, host: str):
-    """The topology domain of a host at that level: "all", its zone, its cell or its own name."""
+    """Returns the topology domain of a host at a level: "all", its zone, its cell or its own name."""
     zone, cell = traffic.places.get(host, ("", 0))
     return {TopologyLevel.ALL: "all", TopologyLevel.ZONE: zone, TopologyLevel.CELL: cell}.get(level, host)
 
@@ -199,7 +201,7 @@
 
 
 def check_drains(traffic, cluster):
-    """Rule 3: past the grace, no launch goes to a host that its controller knows to drain or to be gone."""
+    """Rule 3: past the grace, no launch is sent to a host that its controller knows is draining or gone."""
     for launch in traffic.launches.values():
         view = traffic.host_views.get((launch.controller, launch.life, launch.host))
         since = None
@@ -225,8 +227,8 @@
 def check_slow_start(traffic, cluster):
     """Rule 4: a host in slow start is offered no more launches within the window than its limit.
 
-    Reports each boot at most once. A burst counts only where controllers that knew of the boot sent at least
-    two thirds of its launches: the others could not know that the host had just started.
+    Reports each boot at most once. A burst is a breach only if controllers that knew of the boot sent at
+    least two thirds of its launches: other controllers could not know that the host had just started.
     """
     settings = cluster.settings
     by_boot: dict[tuple, list[ObservedLaunch]] = {}
@@ -255,7 +257,7 @@
 
 
 def known_boots(traffic, launch) -> dict[int, float]:
-    """When the launch's controller first received news of each boot of the host."""
+    """Returns when the launch's controller was first informed of each boot of the host."""
     view = traffic.host_views.get((launch.controller, launch.life, launch.host))
     return view.boots if view else {}
 
@@ -266,7 +268,8 @@
 def check_spread(traffic, cluster):
     """Rule 5: at each send a domain holds no more launches of a service than the offering's spread permits.
 
-    Counted for each incarnation of a controller, with the earlier ones' launches that a welcome named to it.
+    Launches are counted for each incarnation of a controller. It also counts the launches of earlier
+    incarnations that a host's welcome named to it.
     """
     spread = {
         name: offering
@@ -279,7 +282,7 @@
         if offering is None:
             continue
         known_since = [(launch.t, launch.life)] + [
-            (t, life) for t, _, life, recovered in traffic.recovered if recovered is launch
+            (t, life) for t, name, life, recovered in traffic.recovered if recovered is launch
         ]
         for t, life in known_since:
             domain = (
@@ -293,7 +296,7 @@
         for t, _, launch in launches:
             limit = spread[launch.job.offering].max_per_domain
             if launch.t != t:
-                continue  # recovered while it ran: nothing was sent
+                continue  # the incarnation recovered this launch and did not send it
             present = [
                 other
                 for since, until, other in launches
@@ -309,16 +312,16 @@
 
 
 def end_of_launch(traffic, launch: ObservedLaunch) -> float:
-    """When a launch stops counting: at its end, or at its timeout or its link's end without an acceptance."""
+    """When a launch no longer counts: at its end, or if not accepted, at its timeout or its link's end."""
     view = traffic.host_views.get((launch.controller, launch.life, launch.host))
     gone = (
         min((t for t, mode in view.modes if mode == pb.GONE and t > launch.t), default=NEVER)
         if view
         else NEVER
     )
-    over = min(launch.refused, launch.ended, launch.lost, launch.absent, launch.stopped, gone)
+    ended_at = min(launch.refused, launch.ended, launch.lost, launch.absent, launch.stopped, gone)
     if launch.accepted > launch.t + launch.wait:
-        over = min(over, launch.t + launch.wait)
+        ended_at = min(ended_at, launch.t + launch.wait)
     if launch.accepted > launch.link_end:
-        over = min(over, launch.link_end)
-    return over
+        ended_at = min(ended_at, launch.link_end)
+    return ended_at
--- a/linedeal/audit/traffic.py
+++ b/linedeal/audit/traffic.py
@@ -1,6 +1,6 @@
 """Reconstructs from recorded bytes what each side sent and received, and when.
 
-All times are seconds on the recorder's clock; `NEVER` stands for what the record does not show.
+All times are seconds on the recorder's clock; `NEVER` is the time of an event that is not in the record.
 """
 
 import base64
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, eq=False)
 class ObservedLaunch:
-    """A launch offered to a host, and what the host and the controller then reported of it."""
+    """A launch offered to a host, and what the host and the controller reported about it."""
 
     controller: str
     life: int  # incarnation of the controller that sent it
@@ -27,7 +27,7 @@
     wait: float  # seconds that the controller waits for an acceptance
     link: int  # recorder's number of the link that carried the offer
     boot: int  # boot that the host named in its welcome on that link
-    held_back: bool  # the offer was delayed by a cut: it may not have reached the host
+    held_back: bool  # a network cut delayed the offer, which may not have reached the host
     link_end: float = NEVER
     accepted: float = NEVER
     started: float = NEVER
@@ -38,14 +38,14 @@
     absent: float = NEVER  # first later welcome of the same boot that does not name it: it never ran
     # last link on which the launch was known: the one that carried the offer, or whose welcome named it
     reporting_link: object = None
-    # end of that link: news of the launch after it reaches no controller until the next link
+    # end of that link: until the next link, no report about the launch reaches its controller
     unreported_since: float = NEVER
     outcome: int = 0
     usage_reports: list[tuple[float, float]] = field(default_factory=list)  # time, cores in use
 
     @property
     def never_ran(self) -> float:
-        """Time from which the record proves that the launch did not run; `NEVER` where it does not."""
+        """Time from which the record proves that the launch did not run; `NEVER` if there is no proof."""
         return min(self.refused if self.refused < self.started else NEVER, self.absent)
 
 
@@ -61,14 +61,14 @@
     key: str
     link: int  # id() of the observed client link
     taken: float  # when the controller acknowledged it
-    wait: float  # seconds that the owner allows for an answer; 0: the offering's expiry holds
+    wait: float  # seconds that the owner allows for an answer; 0: the offering's expiry applies
     answers: list[tuple[float, int]] = field(default_factory=list)  # time, verdict
     left: float = NEVER  # when its owner disconnected or withdrew it; for jobs without a session
     session: str = ""
     status_verdicts: list[tuple[float, int]] = field(default_factory=list)  # verdicts in status messages
-    began: float = 0.0  # start of its time to find a host, where that is later than its acceptance
-    over: bool = False  # its owner has released it: the session may reuse the key
-    on_hold: bool = False  # held, or its start time has not come
+    began: float = 0.0  # when its expiry starts to count, if later than its acceptance
+    over: bool = False  # its owner has released it, so the session may use the key again
+    on_hold: bool = False  # held by its owner
     launches: list[ObservedLaunch] = field(default_factory=list)
 
     @property
@@ -79,7 +79,7 @@
 
 @dataclass(slots=True, eq=False)
 class HostView:
-    """What one incarnation of a controller had received about one host."""
+    """What one incarnation of a controller had been informed of about one host."""
 
     modes: list[tuple[float, int]] = field(default_factory=list)  # time, mode
     boots: dict[int, float] = field(default_factory=dict)  # by boot: when it was first named
@@ -90,7 +90,7 @@
     """An order of a duty's owner, and the reply to it."""
 
     t: float  # when it passed the recorder
-    held: bool  # a cut delayed it
+    held: bool  # a network cut delayed it
     to: str
     owner: str
     duty: str
@@ -101,13 +101,13 @@
     boot: int
     answered_at: float = NEVER
     done: bool = False
-    highest_token: int = 0  # highest that the receiver had admitted
+    highest_token: int = 0  # highest fencing token that the receiver had admitted
     answering_boot: int = 0  # boot of the host that replied
     drained: bool = False  # the host replied that it drains and holds no irreversible job
 
     @property
     def earliest_execution(self) -> float:
-        """The earliest time at which it can have been executed."""
+        """The earliest time at which the order can have been executed."""
         return self.t if not self.held else self.answered_at
 
 
@@ -118,12 +118,12 @@
     t: float
     key: str
     body: bytes
-    made: float = NEVER  # when the requester received the confirmation
+    made: float = NEVER  # when the council's confirmation passed the recorder
 
 
 @dataclass(slots=True)
 class ObservedLink:
-    """One connection, and the state needed to interpret what passes on it."""
+    """One connection, and the state needed to interpret its messages."""
 
     to: str
     sent: FrameReader = field(default_factory=FrameReader)  # towards `to`
@@ -133,7 +133,8 @@
     boot: int = 0
     requests: dict[str, deque] = field(default_factory=dict)  # submissions without a reply, by key
     launches: list[ObservedLaunch] = field(default_factory=list)  # offered on this link
-    known_launches: list[ObservedLaunch] = field(default_factory=list)  # those, and those its welcome named
+    # those offered on this link, and those that its welcome named
+    known_launches: list[ObservedLaunch] = field(default_factory=list)
     # orders or changes sent on this link that have no reply yet, by number
     pending: dict[int, object] = field(default_factory=dict)
     broken: bool = False  # a frame could not be decoded: the rest is skipped
@@ -150,8 +151,9 @@
     sessions: dict[tuple[str, str], list[list[float]]] = field(default_factory=dict)
     places: dict[str, tuple[str, int]] = field(default_factory=dict)  # zone and cell, by host
     booted: dict[tuple[str, int], float] = field(default_factory=dict)  # by host and boot
-    marks: list[tuple[float, str, str]] = field(default_factory=list)  # faults from outside: time, what, who
-    # launches of an earlier incarnation that a welcome named: its time, controller, incarnation, launch
+    marks: list[tuple[float, str, str]] = field(default_factory=list)  # injected faults: time, what, who
+    # launches of an earlier incarnation that a welcome named: time of the welcome, the controller and its new
+    # incarnation, and the launch
     recovered: list[tuple] = field(default_factory=list)
     turned_away: int = 0
     # identifiers used twice: time, number of the rule, text
@@ -163,11 +165,11 @@
 
 
 def reconstruct_traffic(entries: Iterable[Entry]) -> Traffic:
-    """Reads a whole record. A frame that cannot be decoded goes to `bad_frames` and ends its link's part."""
+    """Reads a whole record. A frame that cannot be decoded goes to `bad_frames`; then its link is skipped."""
     reader = Reader()
     for entry in entries:
         reader.process(entry)
-    # Jobs get their launches last: an offer may pass the recorder before the client's "taken" does.
+    # Launches are assigned to jobs last: an offer may pass the recorder before "taken" does.
     for launch in reader.traffic.launches.values():
         job = reader.traffic.jobs.get(launch.job.id)
         if job is not None:
@@ -179,10 +181,10 @@
     """Processes the entries of a record in order and fills `traffic`."""
 
     def __init__(self):
-        """Starts with no link known."""
+        """Starts without any link."""
         self.traffic = Traffic()
         self.links: dict[int, ObservedLink] = {}
-        self.keys: dict[tuple[str, str, str], str] = {}  # job by controller, session and key
+        self.keys: dict[tuple[str, str, str], str] = {}  # id of the job, by controller, session and key
         # hosts that discovery has named, by controller and incarnation
         self.listed_hosts: dict[tuple, set[str]] = {}
 
@@ -194,7 +196,7 @@
         elif entry.e == "open":
             self.links[entry.link] = ObservedLink(entry.to, opened=entry.t)
         elif entry.e == "end":
-            self.link_ended(entry.t, self.links[entry.link])
+            self.record_link_end(entry.t, self.links[entry.link])
         else:
             link = self.links[entry.link]
             if link.broken:
@@ -203,13 +205,13 @@
             try:
                 for message in reader.feed(base64.b64decode(entry.b)):
                     if message is not None:
-                        self.message(entry, link, message)
+                        self.dispatch(entry, link, message)
             except FrameError as error:
                 link.broken = True
                 self.traffic.bad_frames.append((entry.t, link.to, str(error)))
 
-    def link_ended(self, t, link) -> None:
-        """Notes the end of a link for its launches, its session or its client's jobs."""
+    def record_link_end(self, t, link) -> None:
+        """Records the end of a link for its launches, its session or its client's jobs."""
         for launch in link.launches:
             launch.link_end = min(launch.link_end, t)
         for launch in link.known_launches:
@@ -217,7 +219,7 @@
                 launch.unreported_since = min(launch.unreported_since, t)
         if link.hello is None or link.hello.role != pb.CLIENT:
             return
-        if link.hello.session:  # its jobs go on; without a link no answer can be delivered
+        if link.hello.session:  # its jobs continue, but without a link no answer can be delivered
             for span in self.traffic.sessions.get((link.to, link.hello.session), ()):
                 if span[2] == id(link):
                     span[1] = min(span[1], t)
@@ -226,7 +228,7 @@
             if job.link == id(link):
                 job.left = min(job.left, t)
 
-    def message(self, entry, link, message) -> None:
+    def dispatch(self, entry, link, message) -> None:
         """Dispatches a message by the role that the link's hello named, its direction and its type."""
         if isinstance(message, pb.Hello) and entry.d == ">":
             link.hello = message
@@ -247,12 +249,12 @@
         link.requests.setdefault(message.key, deque()).append(message)
 
     def taken(self, entry, link, message) -> None:
-        """The controller accepts a job, or joins the session's submission to one it has accepted before."""
+        """The controller accepts a job, or confirms a repeated submission of a session's job."""
         request, known = link.requests[message.key].popleft(), self.traffic.jobs.get(message.job)
         if known is not None:
             if not known.session or (known.session, known.key) != (link.hello.session, message.key):
                 self.traffic.duplicates.append((entry.t, 1, f"{message.job} was taken twice"))
-            return  # joined by its own session and key
+            return  # a repeated submission of the same session and key
         other = self.keys.get((link.to, link.hello.session, message.key)) if link.hello.session else None
         if other is not None and not self.traffic.jobs[other].over:
             self.traffic.duplicates.append(
@@ -322,8 +324,8 @@
 
     # -- controller and host
 
-    def find(self, launch) -> ObservedLaunch | None:
-        """The launch with that id, if its offer was recorded."""
+    def find_launch(self, launch) -> ObservedLaunch | None:
+        """Returns the launch with that id, or None if its offer was not recorded."""
         return self.traffic.launches.get((launch.controller, launch.life, launch.number))
 
     def offer(self, entry, link, message) -> None:
@@ -352,24 +354,24 @@
             )
         self.traffic.launches[key] = launch
         link.launches.append(launch)
-        self.reports_on(link, launch)
+        self.set_reporting_link(link, launch)
 
-    def reports_on(self, link, launch) -> None:
-        """From now on news of the launch reaches its controller on this link."""
+    def set_reporting_link(self, link, launch) -> None:
+        """Records that from now on the launch's controller receives reports about it on this link."""
         link.known_launches.append(launch)
         launch.reporting_link, launch.unreported_since = link, NEVER
 
     def use(self, entry, link, message) -> None:
         """A host reports the cores that a launch uses."""
-        launch = self.find(message.launch)
+        launch = self.find_launch(message.launch)
         if launch is not None:
             launch.usage_reports.append((entry.t, message.cores))
 
     def welcome(self, entry, link, message) -> None:
-        """A host welcomes a controller with its inventory: what it proves of each earlier launch is noted."""
+        """A host sends its inventory to a controller: records what it proves of each earlier launch."""
         link.boot = message.boot
         name, life, host = link.hello.name, link.hello.life, link.to
-        self.boot(host, message.boot, entry.t, message.age)
+        self.record_boot(host, message.boot, entry.t, message.age)
         view = self.traffic.host_views.setdefault((name, life, host), HostView())
         view.boots.setdefault(message.boot, entry.t)
         held = {(item.launch.life, item.launch.number): item for item in message.held}
@@ -378,13 +380,13 @@
                 continue
             item = held.get((launch.life, launch.number))
             if item is not None:
-                self.reports_on(link, launch)
+                self.set_reporting_link(link, launch)
             if item is None and launch.link != entry.link:
                 if message.boot != launch.boot:
                     launch.lost = min(launch.lost, entry.t)
                 elif not message.forgot and launch.life <= life:
-                    # The host sends its inventory after it has registered the incarnation: a launch of an
-                    # earlier one that it does not name was never held there.
+                    # The host registers the incarnation before it sends its inventory, and accepts nothing of
+                    # earlier ones from then on: a launch of theirs that it omits was never held there.
                     launch.absent = min(launch.absent, entry.t)
             elif item is not None and item.phase == pb.OVER:
                 launch.ended, launch.outcome = min(launch.ended, entry.t), item.outcome
@@ -395,20 +397,20 @@
                 if launch.life != life:
                     self.traffic.recovered.append((entry.t, name, life, launch))
 
-    def boot(self, host, boot, t, age) -> None:
-        """Notes when a boot of a host began; the earliest of several estimates counts. `age`: seconds."""
+    def record_boot(self, host, boot, t, age) -> None:
+        """Records when a host booted, by the earliest estimate. `age`: seconds since the boot, at `t`."""
         known = self.traffic.booted.get((host, boot), NEVER)
         self.traffic.booted[host, boot] = min(known, t - age)
 
     # -- discovery
 
     def host_list(self, entry, link, message) -> None:
-        """Discovery sends hosts; from a whole list, hosts that it no longer names are gone."""
+        """Discovery sends hosts; known hosts that are missing in a complete list are gone."""
         name, life = link.hello.name, link.hello.life
         known = self.listed_hosts.setdefault((name, life), set())
         for item in message.hosts:
             self.traffic.places[item.id] = (item.zone, item.cell)
-            self.boot(item.id, item.boot, entry.t, item.age)
+            self.record_boot(item.id, item.boot, entry.t, item.age)
             view = self.traffic.host_views.setdefault((name, life, item.id), HostView())
             view.modes.append((entry.t, item.mode))
             view.boots.setdefault(item.boot, entry.t)
@@ -444,7 +446,7 @@
             order.answering_boot, order.drained = message.boot, message.draining and not message.irreversible
 
     def council_ask(self, entry, link, message) -> None:
-        """A controller requests a change of a register; the plan's and the campaign's are noted."""
+        """A controller requests a change of a register; those of plan and campaign are recorded."""
         if message.kind == pb.CHANGE and message.key in (PLAN, CAMPAIGN):
             change = ObservedChange(entry.t, message.key, message.body)
             self.traffic.changes.append(change)
@@ -481,7 +483,7 @@
     """
 
     def handler(reader, entry, link, message):
-        launch = reader.find(message.launch)
+        launch = reader.find_launch(message.launch)
         if launch is not None and launch.host == link.to:
             setattr(launch, event, min(getattr(launch, event), entry.t))
             if event == "started":
--- a/linedeal/lab/cluster.py
+++ b/linedeal/lab/cluster.py
@@ -37,5 +37,5 @@
         ...
 
     async def mark(self, what: str, who: str) -> None:
-        """Notes in the record of traffic that `what` was done to `who`."""
+        """Adds a mark to the traffic record: `what` was done to `who`."""
         ...
--- a/linedeal/lab/day.py
+++ b/linedeal/lab/day.py
@@ -13,7 +13,7 @@
 
 
 class DayFileError(Exception):
-    """A day file cannot be used. `lines` has every error of it, each as `file: line N: error`."""
+    """A day file cannot be used. `lines` holds all its errors, each as `file: line N: error`."""
 
     def __init__(self, lines: list[str]):
         """The message is all of `lines`, one below the other."""
@@ -41,25 +41,28 @@
 
     name: str
     zone: str
-    clock: float = 1.0  # rate: seconds that its clock advances in a real second
+    clock: float = 1.0  # rate: seconds by which its clock advances per real second
 
 
 @dataclass(frozen=True, slots=True)
 class Stream:
-    """The load of one offering: a Poisson stream of jobs. Sizes are drawn evenly from the given ranges."""
+    """The load of one offering: a Poisson stream of jobs. Sizes are uniformly distributed."""
 
     offering: str
     rate: float  # jobs a second
-    cores: tuple[float, float]
-    memory: tuple[float, float]  # in the unit of the cluster file
+    cores: tuple[float, float]  # minimum and maximum
+    memory: tuple[float, float]  # minimum and maximum, in the unit of the cluster file
     services: int  # number of services that the jobs are spread over
     customers: tuple[str, ...]
-    sessions: bool = False  # submitted in sessions, which outlive links and controllers
+    sessions: bool = False  # jobs are submitted in sessions, which survive lost links and controller restarts
 
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """A fault or command applied at `at` and, if `until` is set, reverted then. Seconds from the start."""
+    """A fault or command that is applied at `at` and, if `until` is set, reverted at `until`.
+
+    Both are in seconds from the start of the day. `who`: the names of the affected processes and hosts.
+    """
 
     at: float
     until: float | None
@@ -83,7 +86,8 @@
     orders: tuple[Order, ...]
 
 
-# verb: what it acts on; number of arguments, -1: checked separately; whether it ends with `for SECONDS`
+# By verb: the type of its targets (empty: none); the number of its arguments (-1: checked separately); and
+# whether the order has a duration, `for SECONDS`.
 VERBS = {
     "kill": ("any", 0, "may"),
     "stop": ("any", 0, "must"),
@@ -133,7 +137,7 @@
 
 
 class Parser:
-    """Parses one day file and collects its errors, so that all are reported together."""
+    """Parses one day file and collects its errors, to report all of them together."""
 
     def __init__(self, text: str, name: str, base: Path):
         """Takes the same arguments as `parse_day`."""
@@ -151,7 +155,7 @@
         for number, line in enumerate(self.lines, 1):
             words = line.split("#")[0].split()
             if words:
-                # the lambda is called at once, before the loop variables change
+                # The lambda is called immediately, before the loop variables change.
                 self.collect_errors(number, lambda: self.parse_line(number, words))  # noqa: B023
         cluster = None
         try:
@@ -268,28 +272,28 @@
         if duration == "must" and until is None:
             raise ValueError(f"{verb} needs: for SECONDS")
         if duration == "no" and until is not None:
-            raise ValueError(f"{verb} takes no time")
+            raise ValueError(f"{verb} takes no duration")
         who: tuple[str, ...] = ()
         if target and verb != "cut":
             who, rest = self.resolve_names(rest[0]), rest[1:]
             if target == "controller":
                 who = tuple(name for name in who if name in {spec.name for spec in self.controllers})
                 if not who:
-                    raise ValueError(f"{verb} is for controllers")
+                    raise ValueError(f"{verb} applies to controllers only")
             if target == "host":
                 hosts = {host.name for host in self.hosts}
                 who = tuple(name for name in who if name in hosts)  # zone:a selects controllers too
                 if not who:
-                    raise ValueError(f"{verb} is for hosts")
+                    raise ValueError(f"{verb} applies to hosts only")
         if verb == "cut":
             who = self.resolve_names(rest[0])
             rest = [",".join(self.resolve_names(rest[2]))] + rest[3:]
             if rest[1:] not in ([], ["one-way"]):
-                raise ValueError("cut A from B [one-way] for SECONDS")
+                raise ValueError("cut needs: A from B [one-way] for SECONDS")
         elif argument_count >= 0 and len(rest) != argument_count:
-            raise ValueError(f"{verb} takes {argument_count} more words, there are {len(rest)}")
+            raise ValueError(f"{verb} takes {argument_count} arguments, {len(rest)} are given")
         if verb == "discovery" and (not rest or rest[0] not in ("down", "late", "lose")):
-            raise ValueError("discovery down, late SECONDS or lose")
+            raise ValueError("discovery needs: down, late SECONDS or lose")
         if verb in ("slow", "pace", "deploy", "burst", "loss", "double", "delay", "jump", "favour"):
             float(rest[0])
         if verb == "hot":
@@ -301,7 +305,7 @@
         return Order(at, until, verb, who, tuple(rest))
 
     def parse_campaign(self, rest) -> tuple[tuple[str, ...], list[str]]:
-        """Parses NAME WHO [BOUND=VALUE ...], or NAME pause|resume|abort, and returns the hosts and the rest.
+        """Parses NAME WHO [BOUND=VALUE ...] or NAME pause|resume|abort; returns the hosts and the rest.
 
         Raises ValueError, IndexError.
         """
@@ -323,7 +327,7 @@
         """The names that a selector matches: `h01,h02`, `zone:a`, `cell:2`, `25%`, `hosts`, `controllers`.
 
         `25%` is a random sample of the hosts, the same for the same seed. `owner:census` and `owner:campaign`
-        are returned as they are: the duty's owner is looked up when the order is played. Raises ValueError.
+        are returned unchanged: the duty's owner is looked up when the order is executed. Raises ValueError.
         """
         hosts = {host.name: host for host in self.hosts}
         controllers = {controller.name: controller for controller in self.controllers}
@@ -371,7 +375,7 @@
 
 
 def words_after(words, name) -> list[str] | None:
-    """The words that follow `name`, up to the next keyword or KEY=VALUE; None if `name` is not there.
+    """Returns the words that follow `name`, up to the next keyword or KEY=VALUE; None without `name`.
 
     Raises ValueError if nothing follows it.
     """
--- a/linedeal/lab/director.py
+++ b/linedeal/lab/director.py
@@ -10,13 +10,14 @@
 from linedeal.lab.day import Day, Order
 from linedeal.lab.load import LoadGenerator
 
-DRAIN_TIME = 3.0  # seconds for which a host of a rolling deploy drains before it is replaced
+DRAIN_TIME = 3.0  # seconds for which a host drains in a rolling deploy before it is replaced
 
 
 class Director:
-    """Injects faults and commands into a test cluster.
+    """Applies a day's faults and commands to a test cluster.
 
-    Each verb of day files has a method of the same name: `verb(order, on)` applies the order, or reverts it.
+    Each verb of day files has a method of the same name. It applies the order, or reverts it if `on` is
+    false.
     """
 
     def __init__(self, day: Day, cluster: LabCluster, load: LoadGenerator, print_line):
@@ -48,10 +49,11 @@
         """Applies the order and, if it has a duration, reverts it. `begun`: loop time of the day's start."""
         owners = [name for name in order.who if name.startswith("owner:")]
         if owners:
-            # resolved once: the order is reverted where it was applied, even if the duty moves meanwhile
-            found = tuple([await self.cluster.operator.duty_owner(name[6:]) for name in owners])
-            self.print_line(f"        {', '.join(owners)}: {', '.join(found)}")
-            order = replace(order, who=tuple(name for name in order.who if name not in owners) + found)
+            # Resolved once: the order is reverted where it was applied, even if the duty has another owner
+            # by then.
+            owner_names = tuple([await self.cluster.operator.duty_owner(name[6:]) for name in owners])
+            self.print_line(f"        {', '.join(owners)}: {', '.join(owner_names)}")
+            order = replace(order, who=tuple(name for name in order.who if name not in owners) + owner_names)
         await getattr(self, order.verb)(order, True)
         if order.until is not None:
             await anyio.sleep_until(begun + order.until)
@@ -87,7 +89,7 @@
                 await self.cluster.order(name, command)
 
     async def mute(self, order, on):
-        """Hosts send nothing but answers to probes."""
+        """Hosts drop all their messages except answers to probes."""
         await self.send_to_each(order, {"mute": on})
 
     async def slow(self, order, on):
@@ -95,15 +97,15 @@
         await self.send_to_each(order, {"slow": float(order.args[0]) if on else 0.0})
 
     async def errors(self, order, on):
-        """Jobs of that offering fail on these hosts."""
+        """Jobs of an offering fail on these hosts."""
         await self.send_to_each(order, {"errors": [order.args[0]] if on else []})
 
     async def refuse(self, order, on):
-        """Hosts refuse the jobs of that customer without a reason."""
+        """Hosts refuse the jobs of a customer without giving a reason."""
         await self.send_to_each(order, {"refuse": [order.args[0]] if on else []})
 
     async def pace(self, order, on):
-        """Hosts work at that share of their speed."""
+        """Hosts run at that fraction of their speed."""
         await self.send_to_each(order, {"pace": float(order.args[0]) if on else 1.0})
 
     async def flush(self, order, on):
@@ -111,7 +113,7 @@
         await self.send_to_each(order, {"flush": True})
 
     async def drain(self, order, on):
-        """Drains hosts; at the end they are killed for good."""
+        """Drains hosts; at the end they are killed and not restarted."""
         if on:
             await self.send_to_each(order, {"drain": True})
         else:
@@ -162,11 +164,11 @@
         self.load.heavy = {order.args[0]: float(order.args[1])} if on else {}
 
     async def favour(self, order, on):
-        """Sends that share of all jobs to the named controllers, spread evenly over them."""
+        """Submits that share of all jobs to the named controllers, distributed evenly."""
         self.load.favour = {name: float(order.args[0]) / len(order.who) for name in order.who} if on else {}
 
     async def hot(self, order, on):
-        """Gives that share of an offering's jobs to its first service."""
+        """Assigns that share of an offering's jobs to its first service."""
         self.load.hot = {order.args[0]: float(order.args[1])} if on else {}
 
     async def surge(self, order, on):
@@ -194,7 +196,7 @@
         await self.send_to_each(order, {"jump": float(order.args[0])})
 
     async def loss(self, order, on):
-        """Loses that share of the council's packets; `double` duplicates it, `delay` is in seconds."""
+        """Drops that share of the council's packets; `double` duplicates it, `delay` is in seconds."""
         await self.cluster.order("tap", {order.verb: float(order.args[0]) if on else 0.0})
 
     double = delay = loss
--- a/linedeal/lab/inprocess.py
+++ b/linedeal/lab/inprocess.py
@@ -162,5 +162,5 @@
         (self.network.cut if on else self.network.heal)(pairs)
 
     async def mark(self, what: str, who: str) -> None:
-        """Notes in the record of traffic that `what` was done to `who`."""
+        """Adds a mark to the traffic record: `what` was done to `who`."""
         self.recorder.mark(anyio.current_time(), what, who)
--- a/linedeal/lab/processes.py
+++ b/linedeal/lab/processes.py
@@ -1,4 +1,4 @@
-"""A test cluster of processes on loopback sockets: each part that can be killed is a process of its own.
+"""A test cluster of processes on loopback sockets: each part that can be killed is a separate process.
 
 All links except those from hosts to discovery lead through the tap, a proxy process that records traffic and
 injects network faults.
@@ -24,15 +24,16 @@
 from linedeal.net import parse_address
 
 START_TIMEOUT = 20.0  # seconds for a process to print the address at which it listens
-# range of the ports for the council, chosen before their processes start, below those that the system assigns
+# Range of the ports for council listeners. They are chosen before their processes start, so the range is
+# below the ephemeral ports that the system assigns.
 COUNCIL_PORTS = 20000, 32000
-MAX_START_ATTEMPTS = 5  # a restarted process fails while its former port is still in use
+MAX_START_ATTEMPTS = 5  # a restarted process fails while its old port is still in use
 
 
 def free_port() -> int:
-    """Returns a port that is not in use, outside the range of ports that the system assigns by itself.
+    """Returns a port that is not in use, outside the system's ephemeral port range.
 
-    So nothing else is likely to take it before the process that it is meant for.
+    No other process is likely to bind it before the process that it is reserved for.
     """
     while True:
         port = random.randrange(*COUNCIL_PORTS)
@@ -99,7 +100,7 @@
             for name, process in self.running.items():
                 if process.returncode is None:
                     process.send_signal(signal.SIGCONT)
-                    # the tap is not killed, so that its record is complete: it ends when its input does
+                    # The tap is not killed, so that its record is complete: it ends when its input is closed.
                     await process.stdin.aclose() if name == "tap" else process.kill()
             for process in self.running.values():
                 with anyio.move_on_after(5.0):
@@ -125,7 +126,7 @@
                     stdin=subprocess.PIPE,
                     stdout=subprocess.PIPE,
                     stderr=errors,
-                    # Ctrl-C ends this process only, which then ends the others
+                    # Ctrl-C reaches this process only, which then ends the others.
                     start_new_session=True,
                 )
             self.running[name] = process
@@ -165,7 +166,7 @@
             pass
 
     async def replace(self, name: str, boot: int) -> None:
-        """Restarts a host for the tool, unless this boot of it is gone or being replaced already."""
+        """Restarts a host at the tool's request, unless this boot has ended or is already being replaced."""
         if self.boots.get(name) != boot or (name, boot) in self.replacing:
             return
         self.replacing.add((name, boot))
@@ -200,7 +201,7 @@
             self.replace_address(self.day.cluster.campaign.tool, self.routes["tool"])
 
     def replace_address(self, address: tuple[str, int], route: str) -> None:
-        """Puts the tap's route in place of an address in the cluster file that controllers read."""
+        """Replaces an address in the cluster file that controllers read with the tap's route."""
         text = Path(self.cluster_path).read_text(encoding="utf-8")
         self.cluster_path = str(self.directory / "cluster-in-place.hcl")
         Path(self.cluster_path).write_text(
@@ -208,13 +209,13 @@
         )
 
     async def run(self, name: str, command: list[str]) -> None:
-        """Starts a process that listens, and a route through the tap to it."""
+        """Starts a process that listens, and adds a route to it through the tap."""
         self.commands[name] = command
         self.ports[name] = await self.spawn(name, [*command, "--listen", "127.0.0.1:0"])
         await self.route(name, self.ports[name])
 
     async def route(self, name: str, to: str) -> None:
-        """Has the tap listen for `name` and waits for the address of that listener."""
+        """Makes the tap listen on behalf of `name`, and waits for the address of that listener."""
         await self.order("tap", {"route": [name, to]})
         while name not in self.tap_routes:
             await self.tap_reported.wait()
@@ -228,14 +229,14 @@
             self.replace_address(address, self.routes[f"{member}/council"])
 
     async def start_host(self, spec: HostSpec, slow_start: bool) -> None:
-        """Adds a host; with `slow_start` it runs cold, as a machine that has just started."""
+        """Adds a host; with `slow_start` it starts slowly, as a machine that has just booted."""
         self.host_specs[spec.name] = spec
         self.boots[spec.name] = time.time_ns() // 1_000_000
         await self.run(spec.name, self.host_command(spec, slow_start))
         await self.order(spec.name, {"advertise": self.routes[spec.name]})
 
     def host_command(self, spec: HostSpec, slow_start: bool) -> list[str]:
-        """The command line that starts this boot of the host."""
+        """Returns the command line that starts the current boot of the host."""
         return [
             "host",
             "--name",
@@ -312,12 +313,12 @@
         await process.wait()
 
     async def set_paused(self, name: str, paused: bool) -> None:
-        """Stops a process with SIGSTOP, or continues it."""
+        """Pauses a process with SIGSTOP, or resumes it with SIGCONT."""
         await self.mark("stop" if paused else "continue", name)
         os.kill(self.running[name].pid, signal.SIGSTOP if paused else signal.SIGCONT)
 
     async def order(self, name: str, order: dict) -> None:
-        """Writes a JSON order to a process. A process that has ended is skipped; the tap must not end.
+        """Writes a JSON order to a process. A process other than the tap is skipped if it has ended.
 
         Raises ClusterProcessError.
         """
@@ -335,5 +336,5 @@
         await self.order("tap", {"cut" if on else "heal": list(pairs)})
 
     async def mark(self, what: str, who: str) -> None:
-        """Notes in the record of traffic that `what` was done to `who`."""
+        """Adds a mark to the traffic record: `what` was done to `who`."""
         await self.order("tap", {"mark": [what, who]})
