--- a/linedeal/lab/day.py
+++ b/linedeal/lab/day.py
@@ -291,7 +291,7 @@
             if rest[1:] not in ([], ["one-way"]):
                 raise ValueError("cut needs: A from B [one-way] for SECONDS")
         elif argument_count >= 0 and len(rest) != argument_count:
-            raise ValueError(f"{verb} takes {argument_count} arguments, {len(rest)} are given")
+            raise ValueError(f"{verb} takes {argument_count} arguments, not {len(rest)}")
         if verb == "discovery" and (not rest or rest[0] not in ("down", "late", "lose")):
             raise ValueError("discovery needs: down, late SECONDS or lose")
         if verb in ("slow", "pace", "deploy", "burst", "loss", "double", "delay", "jump", "favour"):
